--- a/src/core/events.h
+++ b/src/core/events.h
@@ -82,7 +82,7 @@
   uint32_t request = 0;
 };
 struct LearnedTold {  // what the process before had learned of the backends
-  micadock::Learned learned;
+  micadock::LearnedState learned;
 };
 struct AnswerBegun {  // a good answer that goes to its client as it comes; Answered or Lost follows
   uint64_t connection = 0;
--- a/src/core/gateway_core.cpp
+++ b/src/core/gateway_core.cpp
@@ -185,7 +185,7 @@
   bool two = held->Out();
   double left = held->deadline - now, patience = action.seconds == 0 ? left : std::min(action.seconds, left);
   held->attempts.push_back({action.backend, 0, now, true});  // out until its outcome is told
-  if (held->answered || patience <= 0 || (two && !settings_.module.parallel_tries) ||
+  if (held->answered || patience <= 0 || (two && !settings_.module.hedging) ||
       attempt >= settings_.module.try_limit || held->body_gone) {
     return told_.push_back({action.request, attempt, Result::kNeverSent});
   }
@@ -274,7 +274,7 @@
   outcome.finished = held->answered;
   outcome.backend = attempt.backend;
   outcome.true_units = true_units;
-  outcome.again = !held->body_gone;
+  outcome.resendable = !held->body_gone;
   Tell(now, out, [&](Balancer& b, double at, Actions* actions) { b.OnOutcome(at, outcome, actions); });
   reporting_ = 0;
   ForgetIfOver(request, out);
@@ -364,7 +364,7 @@
 }
 
 size_t GatewayCore::Avoided(double now) const {
-  return bans_.listed_and_banned() + static_cast<size_t>(balancer_->SetAside(now));
+  return bans_.listed_and_banned() + static_cast<size_t>(balancer_->EjectedCount(now));
 }
 
 void GatewayCore::OnListFailed(double now, Effects* out) {
--- a/src/core/gateway_core.h
+++ b/src/core/gateway_core.h
@@ -98,8 +98,10 @@
   // Listed backends that are not used now: banned, or set aside by the module.
   size_t Avoided(double now) const;
   // An upgrade: what this gateway's module has learned of the backends, and what another process of it had.
-  micadock::Learned Remember(double now) const { return balancer_->Remember(now); }
-  void OnLearned(double now, const micadock::Learned& learned) { balancer_->Recall(now, learned); }
+  micadock::LearnedState Remember(double now) const { return balancer_->ExportLearned(now); }
+  void OnLearned(double now, const micadock::LearnedState& learned) {
+    balancer_->ImportLearned(now, learned);
+  }
 
   const BanBook& bans() const { return bans_; }
   const RequestBook& requests() const { return requests_; }
--- a/src/fleet/desk.cpp
+++ b/src/fleet/desk.cpp
@@ -95,7 +95,7 @@
   const micadock::Settings& s = config_.settings;
   if (!s.lend_ceilings || s.plans[static_cast<size_t>(plan)].ceiling_rate <= 0) return;
   Turn([&](double now) {
-    loans_.OnAsked(now, customer, units, CeilingOf(s, s.plans[static_cast<size_t>(plan)], 1), &loan_asks_);
+    loans_.OnAsked(now, customer, units, PlanCeiling(s, s.plans[static_cast<size_t>(plan)], 1), &loan_asks_);
   });
 }
 
--- a/src/gateway/quota_bound.cpp
+++ b/src/gateway/quota_bound.cpp
@@ -33,12 +33,12 @@
   bound.restart_silent = burst;
   // In silence nothing is read, so no window is judged anew: a full store each, then the parts. Shares as
   // last told need not add up while they fade (each passes an even one by 1 - 1/k of the rate at most); even
-  // parts of what nobody used add up to kSpare times the rate. Until the failure shows (kApartRun calls that
-  // nobody answers), others may be taken for idle.
-  double notice_s = micadock::kApartRun * kCountPatience * settings.count_timeout_s;
+  // parts of what nobody used add up to kUnusedShareFactor times the rate. Until the failure shows
+  // (kUnsoundAnswerLimit calls that nobody answers), others may be taken for idle.
+  double notice_s = micadock::kUnsoundAnswerLimit * kCountPatience * settings.count_timeout_s;
   if (k > 1) {
-    bound.silent.once = (k - 1) * (1 + micadock::kShareWindows) * burst + (k - 1) * rate * notice_s;
-    bound.silent.a_second = (micadock::kSpare - 1) * rate;
+    bound.silent.once = (k - 1) * (1 + micadock::kShareDecayWindows) * burst + (k - 1) * rate * notice_s;
+    bound.silent.a_second = (micadock::kUnusedShareFactor - 1) * rate;
     // Frozen totals are found out by what this gateway added itself, at the latest at the end of a window;
     // until then they are judged as whole ones are. After that they count as no answers.
     bound.frozen = {bound.silent.once + k * burst, bound.silent.a_second};
@@ -46,7 +46,7 @@
   double endless = std::numeric_limits<double>::infinity();
   bound.ceiling = bound.ceiling_frozen = bound.ceiling_whatever = {endless, 0};
   if (plan.ceiling_rate > 0) {
-    parts::Allowance a = CeilingOf(settings, plan, k);
+    parts::Allowance a = PlanCeiling(settings, plan, k);
     // Of the part that is reserved each gateway spends a window's limit at most, also where the counter tells
     // it of its own reservations alone; totals that stand still are believed once.
     double times = a.EvenShare() + k * (1 - a.EvenShare());
--- a/src/policy/balance.cpp
+++ b/src/policy/balance.cpp
@@ -28,7 +28,7 @@
   }
 
   void OnList(double now, ListKind kind, const std::vector<Backend>& entries, Actions* out) {
-    if (kind == ListKind::kFailed && !s_.push_discovery) Timer(out, std::min(1.0, s_.ask_within_s), kAskTag);
+    if (kind == ListKind::kFailed && !s_.push_discovery) Timer(out, std::min(1.0, s_.max_discovery_retry_s), kAskTag);
     if (kind != ListKind::kFailed) fleet_.OnList(now, kind, entries);
   }
 
@@ -204,7 +204,7 @@
       --n->out;
       fleet_.Learn(n, l, t, o, now, out);
     }
-    l.again = l.again && o.again;
+    l.again = l.again && o.resendable;
     bool ran = o.result == Result::kError || o.result == Result::kTimeout || o.result == Result::kReset ||
                o.result == Result::kCancelled;
     if (ran && !l.may_have_run) {
@@ -261,7 +261,7 @@
 
   void OnTimer(double now, uint64_t tag, Actions* out) {
     if (tag == kAskTag) return void(Emit(out, ActionKind::kSubscribe));
-    if (tag == kTellTag) return quotas_.TellOwed(now, out);
+    if (tag == kReportTimerTag) return quotas_.TellOwed(now, out);
     auto it = lives_.find(static_cast<uint32_t>(tag));
     if (it == lives_.end() || it->second.done || it->second.began) return;
     Live& l = it->second;
@@ -275,7 +275,7 @@
     bool silent = t.out && n != nullptr && n->heard <= t.sent;
     if (silent && l.out == 1 && retry_store_ >= 1 && s_.classes[l.r.cls].effect == Effect::kFree &&
         MayResend(l, now)) {
-      if (s_.parallel_tries) {
+      if (s_.hedging) {
         if (n->out > 1) fleet_.Fault(n, false, now, out);
         TryAgain(&l, now, out);
       } else if (s_.cancel) {
@@ -316,9 +316,9 @@
 void Balancer::OnFleet(int gateways, bool counted) { impl_->OnFleet(gateways, counted); }
 void Balancer::OnShare(double t, uint64_t customer, double share, double s) { impl_->OnShare(t, customer, share, s); }
 void Balancer::OnTimer(double t, uint64_t tag, Actions* out) { impl_->OnTimer(t, tag, out); }
-Learned Balancer::Remember(double now) const { return impl_->fleet().Remember(now); }
-void Balancer::Recall(double now, const Learned& learned) { impl_->fleet().Recall(now, learned); }
-int Balancer::SetAside(double now) const { return impl_->fleet().SetAside(now); }
+LearnedState Balancer::ExportLearned(double now) const { return impl_->fleet().ExportLearned(now); }
+void Balancer::ImportLearned(double now, const LearnedState& learned) { impl_->fleet().ImportLearned(now, learned); }
+int Balancer::EjectedCount(double now) const { return impl_->fleet().EjectedCount(now); }
 void Balancer::OnCount(double t, const CountAnswer& a, Actions* out) { impl_->OnCount(t, a, out); }
 
 }  // namespace micadock
--- a/src/policy/balance.h
+++ b/src/policy/balance.h
@@ -39,7 +39,7 @@
 struct Settings {
   int gateway = 0;             // this gateway's number
   int gateways = 0;            // how many there are
-  int told_gateways = 0;       // as the settings say; 0: as `gateways` at the start
+  int configured_gateways = 0;       // as the settings say; 0: as `gateways` at the start
   bool counted = true;         // this one is among them
   bool lend_ceilings = false;  // parts of ceilings are told (OnShare), not cut evenly
   int zone = 0;
@@ -51,7 +51,7 @@
   double count_price = 0;
   double cross_zone_price = 0;
   bool cancel = false;
-  bool parallel_tries = false;
+  bool hedging = false;
   bool retry_after = false;
   double max_retry_after_s = 0;
   int try_limit = 0;
@@ -59,7 +59,7 @@
   double warm_after_s = 0;
   double tip_multiple = 0;
   double tip_after_s = 0;
-  double ask_within_s = 0;
+  double max_discovery_retry_s = 0;
   std::vector<ClassSettings> classes;
   std::vector<PlanSettings> plans;
 };
@@ -102,7 +102,7 @@
   bool finished = false;
   uint32_t backend = 0;
   double true_units = 0;  // 0: not told
-  bool again = true;      // the whole request is still held, so that it can be sent again
+  bool resendable = true;      // the whole request is still held, so that it can be sent again
 };
 
 struct CountAnswer {
@@ -126,15 +126,15 @@
 
 // What a gateway has learned of its servers, for the process that takes its place. Times on the module's
 // clock.
-struct Learned {
-  struct OfBackend {
+struct LearnedState {
+  struct BackendEstimate {
     uint32_t id = 0;
-    double speed = 1, pace = 0, limit = 0, fails = 0;
+    double relative_latency = 1, latency_ratio = 0, limit = 0, failure_rate = 0;
     double cold_since = 0;  // 0: warm
   };
-  std::vector<OfBackend> backends;
+  std::vector<BackendEstimate> backends;
   std::vector<double> work, units;  // by class: s of an answer, mean units
-  double let_in = 1, warm_work = 0;
+  double admit_share = 1, warm_work = 0;
 };
 
 // One gateway's decisions. Every call gets the clock, in seconds, and appends actions in order.
@@ -162,10 +162,10 @@
   // before.
   void OnShare(double now, uint64_t customer, double share, double seconds);
   void OnCount(double now, const CountAnswer& answer, Actions* out);
-  Learned Remember(double now) const;
+  LearnedState ExportLearned(double now) const;
   // Takes it over; what is out of range, or of backends that are not listed, is passed over.
-  void Recall(double now, const Learned& learned);
-  int SetAside(double now) const;  // ready backends that get nothing now, by the module's own choice
+  void ImportLearned(double now, const LearnedState& learned);
+  int EjectedCount(double now) const;  // ready backends that get nothing now, by the module's own choice
 
  private:
   class Impl;
--- a/src/policy/fleet.cpp
+++ b/src/policy/fleet.cpp
@@ -124,33 +124,33 @@
   return best;
 }
 
-Learned Fleet::Remember(double now) const {
-  Learned out{{}, work_, class_units_, let_in_, warm_work_ * std::exp(-(now - warm_at_) / kWarmS)};
+LearnedState Fleet::ExportLearned(double now) const {
+  LearnedState out{{}, work_, class_units_, let_in_, warm_work_ * std::exp(-(now - warm_at_) / kWarmS)};
   for (const Node& n : nodes_) out.backends.push_back({n.info.id, n.speed, n.pace, n.limit, n.fails, n.cold_since});
   return out;
 }
 
 // The room of a cold backend is not taken over: who learned of it may still be spending it.
-void Fleet::Recall(double now, const Learned& l) {
+void Fleet::ImportLearned(double now, const LearnedState& l) {
   auto within = [](double value, double least, double most) { return value >= least && value <= most; };
   for (size_t i = 0; i < work_.size() && l.work.size() == work_.size() && l.units.size() == work_.size(); ++i) {
     if (within(l.work[i], 1e-4, s_.classes[i].aim_s)) work_[i] = l.work[i];
     if (within(l.units[i], 0, 1e6)) class_units_[i] = l.units[i];
   }
-  if (within(l.let_in, kLeastLetIn, 2)) let_in_ = l.let_in;
+  if (within(l.admit_share, kLeastLetIn, 2)) let_in_ = l.admit_share;
   if (within(l.warm_work, 0, 1e6)) warm_work_ = l.warm_work, warm_at_ = now;
-  for (const Learned::OfBackend& b : l.backends) {
+  for (const LearnedState::BackendEstimate& b : l.backends) {
     Node* n = Find(b.id);
-    if (n == nullptr || !within(b.speed, 1e-3, 10) || !within(b.pace, 0, 2) || !within(b.limit, 1, kLimitMax)) continue;
-    n->speed = b.speed;
-    n->pace = b.pace;
+    if (n == nullptr || !within(b.relative_latency, 1e-3, 10) || !within(b.latency_ratio, 0, 2) || !within(b.limit, 1, kLimitMax)) continue;
+    n->speed = b.relative_latency;
+    n->pace = b.latency_ratio;
     n->limit = b.limit;
-    if (within(b.fails, 0, 1)) n->fails = b.fails;
+    if (within(b.failure_rate, 0, 1)) n->fails = b.failure_rate;
     if (b.cold_since > n->cold_since && b.cold_since <= now) Chill(n, b.cold_since, now);
   }
 }
 
-int Fleet::SetAside(double now) const {
+int Fleet::EjectedCount(double now) const {
   auto aside = [&](const Node& n) { return n.info.state == BackendState::kReady && n.aside_until > now; };
   return static_cast<int>(std::count_if(nodes_.begin(), nodes_.end(), aside));
 }
--- a/src/policy/fleet.h
+++ b/src/policy/fleet.h
@@ -49,9 +49,9 @@
 
   void OnList(double now, ListKind kind, const std::vector<Backend>& entries);
   Node* Find(uint32_t id);
-  Learned Remember(double now) const;
-  void Recall(double now, const Learned& learned);
-  int SetAside(double now) const;  // of those that the list has ready
+  LearnedState ExportLearned(double now) const;
+  void ImportLearned(double now, const LearnedState& learned);
+  int EjectedCount(double now) const;  // of those that the list has ready
   double WorkOf(const Request& r) const;  // s that its answer is to take
   double Work(int cls) const { return work_[cls]; }
   void Seen(const Request& r) { longest_left_[r.cls] = std::max(longest_left_[r.cls], r.left_s); }
--- a/src/policy/quotas.cpp
+++ b/src/policy/quotas.cpp
@@ -35,7 +35,7 @@
     : s_(s), dice_(dice), ticks_(ticks), start_(now), inside_(s.plans.size(), kInsideAtFirst) {}
 
 ivygw::parts::Allowance Quotas::Ceiled(const Customer& c) const {
-  auto whole = CeilingOf(s_, PlanOf(c), s_.counted ? c.entries : 1e9);
+  auto whole = PlanCeiling(s_, PlanOf(c), s_.counted ? c.entries : 1e9);
   if (s_.lend_ceilings && c.at < c.lent_until) whole.lent = c.lent;
   return whole;
 }
@@ -179,7 +179,7 @@
   if (was && !Quiet()) Log(out, "counter answers again");
   if (!was && Quiet()) Log(out, "counter is silent: going by this gateway's part of each quota");
   if (call.kind == Call::kPool) {
-    if (!c->ceiling.Take(Ceiled(*c), {call.window, call.amount}, ok, answer.total)) c->missed += kApartRun;
+    if (!c->ceiling.Take(Ceiled(*c), {call.window, call.amount}, ok, answer.total)) c->missed += kUnsoundAnswerLimit;
     Reserve(call.customer, c, 0, now, out);
   } else if (call.kind == Call::kOpen) {
     TakeOpen(c, call, answer, now);
@@ -197,7 +197,7 @@
 bool Quotas::Quiet() const { return failed_calls_ >= kSilentRun; }
 
 // Whether the customer's totals are no guide now, so that this gateway keeps to its part of the quota.
-bool Quotas::Apart(const Customer& c) const { return c.entries > 1 && (Quiet() || c.missed >= kApartRun); }
+bool Quotas::Apart(const Customer& c) const { return c.entries > 1 && (Quiet() || c.missed >= kUnsoundAnswerLimit); }
 
 // Units a second that others are taken to send: as last told, fading to what leaves this gateway its part: what it was
 // seen to send and an even part of what nobody used, or its share. All parts add up to the quota, but for the least.
@@ -205,9 +205,9 @@
   if (c.entries < 2) return 0;
   double rate = PlanOf(c).rate, sum = c.own_mean + c.others_mean, age = (c.at - c.sound_at) / WindowS(PlanOf(c));
   // What was seen of the shares grows old: traffic moves, and old shares of several gateways don't add up.
-  double own = sum / c.entries + std::exp(-age / kShareWindows) * (c.own_mean - sum / c.entries);
-  double part = sum < rate ? own + (rate - sum) * kSpare / c.entries : rate * own / sum;
-  part = std::clamp(part, rate * kLeastPart / c.entries, rate);
+  double own = sum / c.entries + std::exp(-age / kShareDecayWindows) * (c.own_mean - sum / c.entries);
+  double part = sum < rate ? own + (rate - sum) * kUnusedShareFactor / c.entries : rate * own / sum;
+  part = std::clamp(part, rate * kMinPartShare / c.entries, rate);
   double keep = Apart(c) || !c.known ? 0 : std::exp(-age / kKeepWindows);
   return keep * c.others + (1 - keep) * (rate - part);
 }
@@ -225,7 +225,7 @@
     forgot_log_ = now;
     c->total = total;
     c->used += Others(*c) * std::min(span, in_window);
-    c->missed += kApartRun;
+    c->missed += kUnsoundAnswerLimit;
     return;
   }
   // In doubt, one that is short by a little is not taken in either, nor one that could not be: it tells of nothing.
@@ -337,7 +337,7 @@
   if (c->owed) return;
   c->owed = true;
   owed_.push_back(id);
-  if (owed_.size() == 1) Timer(out, counter_after_ - now, kTellTag);
+  if (owed_.size() == 1) Timer(out, counter_after_ - now, kReportTimerTag);
 }
 
 void Quotas::TellOwed(double now, Actions* out) {
@@ -349,7 +349,7 @@
     c->owed = false;
     TellOpen(id, c, now, out);
   }
-  if (!owed_.empty()) Timer(out, counter_after_ - now, kTellTag);
+  if (!owed_.empty()) Timer(out, counter_after_ - now, kReportTimerTag);
 }
 
 void Quotas::TakeOpen(Customer* c, const Call& call, const CountAnswer& answer, double now) {
--- a/src/policy/quotas.h
+++ b/src/policy/quotas.h
@@ -12,12 +12,12 @@
 namespace micadock {
 
 // What the stated bound on a quota's excess is made of; tuned, ours.
-inline constexpr double kSlackShare = 0.95;  // of a ceiling's slack that is used: the rest is for rounding
-inline constexpr double kLeastPart = 0.5;    // of an even part, that traffic moving here in silence finds
-inline constexpr double kSpare = 1.5;        // even parts of what nobody used, that a gateway takes into its own
-inline constexpr double kShareWindows = 4;   // windows in which shares as last told fade to even ones
-inline constexpr uint64_t kTellTag = 1ULL << 41;  // of the timer after which what is owed to the counter is told
-inline constexpr int kApartRun = 2;  // failed or unsound answers in a row, from which a customer's part is held to
+inline constexpr double kCeilingSlackShare = 0.95;  // of a ceiling's slack that is used: the rest is for rounding
+inline constexpr double kMinPartShare = 0.5;    // of an even part, that traffic moving here in silence finds
+inline constexpr double kUnusedShareFactor = 1.5;        // even parts of what nobody used, that a gateway takes into its own
+inline constexpr double kShareDecayWindows = 4;   // windows in which shares as last told fade to even ones
+inline constexpr uint64_t kReportTimerTag = 1ULL << 41;  // of the timer after which what is owed to the counter is told
+inline constexpr int kUnsoundAnswerLimit = 2;  // failed or unsound answers in a row, from which a customer's part is held to
 
 enum class Verdict { kInside, kLent, kOver, kReserve };  // the last: inside, if the counter has ceiling left
 
@@ -29,8 +29,8 @@
 };
 
 // A plan's ceiling as it is shared: the store with the slack that is used.
-inline ivygw::parts::Allowance CeilingOf(const Settings& s, const PlanSettings& p, double gateways) {
-  return {p.ceiling_rate, p.ceiling_burst + kSlackShare * p.ceiling_slack, gateways, s.max_units, s.may_count, s.lend_ceilings ? 0.0 : -1.0};
+inline ivygw::parts::Allowance PlanCeiling(const Settings& s, const PlanSettings& p, double gateways) {
+  return {p.ceiling_rate, p.ceiling_burst + kCeilingSlackShare * p.ceiling_slack, gateways, s.max_units, s.may_count, s.lend_ceilings ? 0.0 : -1.0};
 }
 
 struct Customer {
@@ -126,7 +126,7 @@
   ivygw::parts::Allowance Ceiled(const Customer& c) const;
   // A set of all that were told is a set of all that are there.
   double Entries(const Customer& c) const {
-    return s_.told_gateways > 0 && c.spread >= s_.told_gateways ? s_.gateways : std::min<double>(c.spread, s_.gateways);
+    return s_.configured_gateways > 0 && c.spread >= s_.configured_gateways ? s_.gateways : std::min<double>(c.spread, s_.gateways);
   }
   double IdleS(const PlanSettings& p) const;
   void Refill(Customer* c, double now);
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -89,7 +89,7 @@
   Pairs in(text, faults);
   Settings s;
   s.gateway = in.Whole("me");
-  s.gateways = s.told_gateways = in.Whole("peers-total");
+  s.gateways = s.configured_gateways = in.Whole("peers-total");
   s.zone = in.Whole("zone");
   s.resolution_s = in.Number("resolution-s");
   s.push_discovery = in.Choice<bool>("discovery", {{"pushed", true}, {"on_request", false}});
@@ -99,7 +99,7 @@
   s.count_price = in.Number("specifics.counter-price");
   s.cross_zone_price = in.Number("prices.cross-zone");
   s.cancel = in.Flag("limits.cancel");
-  s.parallel_tries = in.Flag("limits.parallel-tries");
+  s.hedging = in.Flag("limits.parallel-tries");
   s.retry_after = in.Flag("limits.retry-after");
   s.max_retry_after_s = in.Number("limits.max-retry-after-s");
   s.try_limit = in.Whole("limits.try-limit");
@@ -107,7 +107,7 @@
   s.warm_after_s = in.Number("invariants.warm-after-s");
   s.tip_multiple = in.Number("invariants.tip-multiple");
   s.tip_after_s = in.Number("invariants.tip-after-s");
-  s.ask_within_s = in.Number("invariants.ask-within-s");
+  s.max_discovery_retry_s = in.Number("invariants.ask-within-s");
   int classes = in.Whole("request-classes.count");
   for (int i = 0; i < classes; ++i) {
     std::string at = "request-classes." + std::to_string(i) + ".";
--- a/src/trace/codec.cpp
+++ b/src/trace/codec.cpp
@@ -47,11 +47,11 @@
 auto Tie(core::FleetTold& e) { return std::tie(e.gateways, e.counted); }
 auto Tie(core::ShareTold& e) { return std::tie(e.customer, e.share, e.seconds); }
 auto Tie(core::LearnedTold& e) {
-  micadock::Learned& l = e.learned;
-  return std::tie(l.backends, l.work, l.units, l.let_in, l.warm_work);
+  micadock::LearnedState& l = e.learned;
+  return std::tie(l.backends, l.work, l.units, l.admit_share, l.warm_work);
 }
-auto Tie(micadock::Learned::OfBackend& b) {
-  return std::tie(b.id, b.speed, b.pace, b.limit, b.fails, b.cold_since);
+auto Tie(micadock::LearnedState::BackendEstimate& b) {
+  return std::tie(b.id, b.relative_latency, b.latency_ratio, b.limit, b.failure_rate, b.cold_since);
 }
 auto Tie(core::Listed& e) {
   micadock::Backend& b = e.backend;
@@ -107,7 +107,7 @@
 // Lists whose parts have fields of their own.
 template <typename Field>
 constexpr bool kListOfStructs = std::is_same_v<Field, std::vector<core::Listed>> ||
-                                std::is_same_v<Field, std::vector<micadock::Learned::OfBackend>>;
+                                std::is_same_v<Field, std::vector<micadock::LearnedState::BackendEstimate>>;
 
 // What msgpack's packer writes to.
 struct Sink {
@@ -207,7 +207,7 @@
            gone = l.backend.state == micadock::BackendState::kGone;
       out << ' ' << l.backend.id << (ready ? "+" : gone ? "-" : "~");
     }
-  } else if constexpr (std::is_same_v<Field, std::vector<micadock::Learned::OfBackend>>) {
+  } else if constexpr (std::is_same_v<Field, std::vector<micadock::LearnedState::BackendEstimate>>) {
     for (const auto& b : field) out << ' ' << b.id << (b.cold_since > 0 ? "c" : "") << ':' << b.limit;
   } else if constexpr (std::is_same_v<Field, std::vector<double>>) {
     for (double value : field) out << ' ' << value;
--- a/tests/core/core_watch.h
+++ b/tests/core/core_watch.h
@@ -423,7 +423,7 @@
     if (e.patience_s <= 0 || now_ + e.patience_s > r->deadline + 1e-9)
       Broken("to be waited for past the deadline");
     for (const auto& [id, other] : connections_) {
-      if (other.busy && other.request == e.request && !settings_.module.parallel_tries)
+      if (other.busy && other.request == e.request && !settings_.module.hedging)
         Broken("two attempts at once");
     }
     auto effect = settings_.module.classes[static_cast<size_t>(r->cls)].effect;
--- a/tests/core/gateway_core_test.cpp
+++ b/tests/core/gateway_core_test.cpp
@@ -534,7 +534,7 @@
     std::vector<uint8_t> bytes(600);
     for (uint8_t& b : bytes) b = static_cast<uint8_t>(random());
     CoreSettings settings = WatchedSite();
-    settings.module.parallel_tries = seed % 4 == 0;
+    settings.module.hedging = seed % 4 == 0;
     CoreWatch watch(settings, false);
     watch.Play(bytes.data(), bytes.size());
     ASSERT_EQ(watch.broken(), "") << "seed " << seed;
--- a/tests/core/hooked_balancer.cpp
+++ b/tests/core/hooked_balancer.cpp
@@ -9,11 +9,11 @@
 void Balancer::OnRequest(double, const Request& r, Actions* out) {
   if (hooks.on_request) hooks.on_request(r, out);
 }
-Learned Balancer::Remember(double) const { return {}; }
-void Balancer::Recall(double, const Learned&) {}
+LearnedState Balancer::ExportLearned(double) const { return {}; }
+void Balancer::ImportLearned(double, const LearnedState&) {}
 void Balancer::OnFleet(int, bool) {}
 void Balancer::OnShare(double, uint64_t, double, double) {}
-int Balancer::SetAside(double) const { return 0; }
+int Balancer::EjectedCount(double) const { return 0; }
 void Balancer::OnBodyEnded(double, uint32_t, Actions*) {}
 void Balancer::OnStreamBegun(double, uint32_t, Actions*) {}
 void Balancer::OnOutcome(double, const Outcome& o, Actions* out) {
--- a/tests/core/real_module_test.cpp
+++ b/tests/core/real_module_test.cpp
@@ -18,7 +18,7 @@
     for (uint8_t& b : bytes) b = static_cast<uint8_t>(random());
     CoreSettings settings = WatchedSite();
     settings.seed = seed;
-    settings.module.parallel_tries = seed % 4 == 0;
+    settings.module.hedging = seed % 4 == 0;
     settings.module.plans[0].rate = 20;
     settings.module.plans[0].burst = 40;
     CoreWatch watch(settings, true);
--- a/tests/gateway/silent_balancer.cpp
+++ b/tests/gateway/silent_balancer.cpp
@@ -21,11 +21,11 @@
   send.backend = impl_->backend;
   out->push_back(send);
 }
-Learned Balancer::Remember(double) const { return {}; }
-void Balancer::Recall(double, const Learned&) {}
+LearnedState Balancer::ExportLearned(double) const { return {}; }
+void Balancer::ImportLearned(double, const LearnedState&) {}
 void Balancer::OnFleet(int, bool) {}
 void Balancer::OnShare(double, uint64_t, double, double) {}
-int Balancer::SetAside(double) const { return 0; }
+int Balancer::EjectedCount(double) const { return 0; }
 void Balancer::OnBodyEnded(double, uint32_t, Actions*) {}
 void Balancer::OnStreamBegun(double, uint32_t, Actions*) {}
 void Balancer::OnOutcome(double, const Outcome&, Actions*) {}
--- a/tests/golden/stored_formats_test.cpp
+++ b/tests/golden/stored_formats_test.cpp
@@ -50,12 +50,16 @@
 }
 
 TEST_F(GoldenForms, LearnedFile) {
-  micadock::Learned learned{
-      .backends = {{.id = 7, .speed = 1.25, .pace = 0.125, .limit = 12, .fails = 0.5, .cold_since = 995.5}},
-      .work = {0.75, 0.0625},
-      .units = {2, 3},
-      .let_in = 0.875,
-      .warm_work = 1.75};
+  micadock::LearnedState learned{.backends = {{.id = 7,
+                                               .relative_latency = 1.25,
+                                               .latency_ratio = 0.125,
+                                               .limit = 12,
+                                               .failure_rate = 0.5,
+                                               .cold_since = 995.5}},
+                                 .work = {0.75, 0.0625},
+                                 .units = {2, 3},
+                                 .admit_share = 0.875,
+                                 .warm_work = 1.75};
   const std::string text =
       "{\"at\":1000.5,\"backends\":[{\"cold_since\":995.5,\"fails\":0.5,\"limit\":12.0,\"name\":\"s-7\","
       "\"pace\":0.125,\"speed\":1.25}],\"gateway\":\"n0\",\"let_in\":0.875,\"units\":[2.0,3.0],\"version\":1,"
@@ -63,7 +67,7 @@
   auto name_of = [](uint32_t) { return std::string("s-7"); };
   auto id_of = [](const std::string&) { return uint32_t{7}; };
   EXPECT_EQ(ivygw::state::FormatLearned(learned, 1000.5, "n0", name_of), text);
-  std::optional<micadock::Learned> read = ivygw::state::ParseLearned(text, 1001, "n0", id_of);
+  std::optional<micadock::LearnedState> read = ivygw::state::ParseLearned(text, 1001, "n0", id_of);
   ASSERT_TRUE(read);
   EXPECT_EQ(ivygw::state::FormatLearned(*read, 1000.5, "n0", name_of), text);
 }
@@ -293,12 +297,16 @@
                                Withdrawn{36},
                                FleetTold{37, false},
                                ShareTold{.customer = 38, .share = 0.25, .seconds = 2.5}};
-  micadock::Learned learned{
-      .backends = {{.id = 9, .speed = 1.5, .pace = 0.25, .limit = 3, .fails = 0.1, .cold_since = 17.5}},
-      .work = {0.5, 0.25},
-      .units = {1, 2},
-      .let_in = 0.75,
-      .warm_work = 3.5};
+  micadock::LearnedState learned{.backends = {{.id = 9,
+                                               .relative_latency = 1.5,
+                                               .latency_ratio = 0.25,
+                                               .limit = 3,
+                                               .failure_rate = 0.1,
+                                               .cold_since = 17.5}},
+                                 .work = {0.5, 0.25},
+                                 .units = {1, 2},
+                                 .admit_share = 0.75,
+                                 .warm_work = 3.5};
   events.push_back(LearnedTold{learned});
   Arrival resumed;
   resumed.resumed = true;
--- a/tests/policy/balance_test.cpp
+++ b/tests/policy/balance_test.cpp
@@ -613,7 +613,7 @@
   for (int i = 0; i < 40 && !ended; ++i) {
     t.now += 0.05;
     t.out.clear();
-    t.b.OnTimer(t.now, kTellTag, &t.out);
+    t.b.OnTimer(t.now, kReportTimerTag, &t.out);
     const Action* count_later = t.Got(ActionKind::kCount);
     if (count_later == nullptr) continue;
     ended = count_later->tag == name && count_later->amount == -told;
--- a/tests/policy/quotas_test.cpp
+++ b/tests/policy/quotas_test.cpp
@@ -129,7 +129,7 @@
   for (Result result : {Result::kTimeout, Result::kConnectFailed, Result::kFull}) {
     for (int gateways : {2, 3, 10}) {
       double sent = SentInSilence(gateways, 100, result);
-      EXPECT_LE(sent, kBurst + kSpare * kRate * 100 / gateways + 1)
+      EXPECT_LE(sent, kBurst + kUnusedShareFactor * kRate * 100 / gateways + 1)
           << gateways;  // shares are even from the first
       EXPECT_GE(sent, kBurst / 2 + 0.9 * kRate * 100 / gateways) << gateways;
     }
--- a/tests/policy/upgrade_and_bodies_test.cpp
+++ b/tests/policy/upgrade_and_bodies_test.cpp
@@ -53,7 +53,7 @@
     o.request = request;
     o.result = result;
     o.backend = backend;
-    o.again = again;
+    o.resendable = again;
     o.finished = finished || result == Result::kOk;
     out.clear();
     b.OnOutcome(now, o, &out);
@@ -86,7 +86,7 @@
     for (auto [request, at] : sent) old.End(request, at, Result::kOk);
   }
   Module fresh(Listing(2), old.now), told(Listing(2), old.now);
-  told.b.Recall(told.now, old.b.Remember(old.now));
+  told.b.ImportLearned(told.now, old.b.ExportLearned(old.now));
   int without = fresh.Room(), with = told.Room();
   EXPECT_EQ(with, old.Room());
   EXPECT_GT(with, without);
@@ -98,29 +98,29 @@
   std::vector<Backend> started = Listing(1, old.now);
   old.b.OnList(old.now, ListKind::kDelta, started, &old.out);
   Module fresh(Listing(1)), told(Listing(1));
-  told.b.Recall(told.now, old.b.Remember(old.now));
+  told.b.ImportLearned(told.now, old.b.ExportLearned(old.now));
   EXPECT_NE(fresh.Ask(), 0u);
   EXPECT_EQ(told.Ask(), 0u) << "its room is not handed on, and begins anew";
 }
 
 TEST(Upgrade, WhatIsOutOfRangeOrNotListedIsPassedOver) {
   Module told(Listing(2)), plain(Listing(2));
-  Learned odd;
+  LearnedState odd;
   odd.work = {-1, 1e9};
   odd.units = {1};
-  odd.let_in = -3;
+  odd.admit_share = -3;
   odd.warm_work = -1;
   odd.backends = {{50, -1, 0, 5, 0, 0}, {51, 1, 0, 1e9, 0, 0}, {77, 1, 0, 9, 0, 0}, {50, 1, 0, 5, 0, 1e12}};
-  told.b.Recall(told.now, odd);
+  told.b.ImportLearned(told.now, odd);
   EXPECT_EQ(told.Room(), plain.Room() + 2) << "the one entry that is sound, but for its start in the future";
 }
 
 // However slow it was before: nothing else would tell whether it is sound now.
 TEST(Upgrade, ABackendThatIsBackFromADrainIsAskedFirstOnce) {
   Module m(Listing(2));
-  Learned learned;
+  LearnedState learned;
   learned.backends = {{50, 5, 0, 5, 0, 0}, {51, 0.2, 0, 5, 0, 0}};
-  m.b.Recall(m.now, learned);
+  m.b.ImportLearned(m.now, learned);
   auto ask = [&] {
     uint32_t at = m.Ask();
     m.now += 0.01;
--- a/tests/rig/policy_site.h
+++ b/tests/rig/policy_site.h
@@ -23,7 +23,7 @@
   s.warm_after_s = 16;
   s.tip_multiple = 2;
   s.tip_after_s = 1;
-  s.ask_within_s = 10;
+  s.max_discovery_retry_s = 10;
   for (Effect effect : {Effect::kFree, Effect::kGuarded, Effect::kSingleShot}) {
     ClassSettings c;
     c.aim_s = 0.6;
--- a/tests/state/learned_file_test.cpp
+++ b/tests/state/learned_file_test.cpp
@@ -10,7 +10,7 @@
 namespace ivygw::state {
 namespace {
 
-using micadock::Learned;
+using micadock::LearnedState;
 
 const std::map<uint32_t, std::string> kNames = {{7, "s-7"}, {8, "s-8"}};
 std::string NameOf(uint32_t id) {
@@ -19,7 +19,7 @@
 }
 uint32_t IdOf(const std::string& name) { return static_cast<uint32_t>(std::stoul(name.substr(2))); }
 
-Learned Some() {
+LearnedState Some() {
   return {{{7, 1.25, 0.1, 12, 0.02, 0}, {8, 0.5, 0.3, 3, 0, 995.5}, {9, 1, 0, 3, 0, 0}},
           {0.1, 0.05},
           {2, 3},
@@ -33,7 +33,7 @@
   LearnedFile file(directory, "n0"), other(directory, "n1");
   EXPECT_FALSE(file.Read(1000, IdOf));
   file.Write(Some(), 1000, NameOf);
-  std::optional<Learned> got = file.Read(1001, IdOf);
+  std::optional<LearnedState> got = file.Read(1001, IdOf);
   ASSERT_TRUE(got);
   ASSERT_EQ(got->backends.size(), 2u) << "one without a name is left out";
   EXPECT_EQ(got->backends[0].id, 7u);
