--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -1,4 +1,4 @@
-// The smallest embedding: one gateway, one plan, one request from arrival to answer.
+// A minimal embedding of the balancing policy: one gateway, one plan, one request from arrival to answer.
 #include <cstdio>
 
 #include "policy/balance.h"
@@ -27,7 +27,7 @@
   site.plans.push_back(plan);
 
   micadock::Actions actions;
-  double now = 1000;  // your own clock, in seconds, the same at every gateway
+  double now = 1000;  // the caller's clock in seconds, the same at all gateways
   micadock::Balancer gateway(site, 42, now, &actions);
   micadock::Backend backend;
   backend.id = 7;
--- a/src/policy/balance.h
+++ b/src/policy/balance.h
@@ -1,4 +1,5 @@
-// The only interface of the decision module (balance.cpp): settings, events in, actions out.
+// The interface of the balancing policy: one gateway's decisions on admission, load balancing, retries and quotas.
+// It does no I/O and has no clock: settings and events go in, actions come out. Durations and times are in seconds.
 #ifndef MICADOCK_POLICY_BALANCE_H_
 #define MICADOCK_POLICY_BALANCE_H_
 
@@ -9,57 +10,60 @@
 
 namespace micadock {
 
+// Whether a request may be executed more than once: always (idempotent), within a deduplication window and scope, or
+// never.
 enum class Effect { kFree, kGuarded, kSingleShot };
+// The backends that share deduplication records, among which a kGuarded request may be repeated.
 enum class Scope { kAll, kZone, kCell };
 
-// One class of request. Times in seconds.
+// One class of requests.
 struct ClassSettings {
-  double aim_s = 0;       // an answer within this earns the full worth
-  double deadline_s = 0;  // a client's whole patience
-  double window_s = 0;    // guarded: how long repeats are dropped, from the first attempt that may have run
+  double aim_s = 0;       // latency target: an answer within it earns the full worth
+  double deadline_s = 0;  // for which a client waits
+  double window_s = 0;    // kGuarded: repeats are dropped for so long from the first attempt that may have run
   double worth = 0;
   double late_share = 0;  // share of the worth earned between aim and deadline
   Effect effect = Effect::kFree;
   Scope scope = Scope::kAll;
 };
 
-// One plan; quotas hold for each customer over all gateways together. Units and units a second.
+// One plan. Its limits hold for each customer over all gateways together, in units and units a second.
 struct PlanSettings {
   double rate = 0;  // 0: no rate quota
   double burst = 0;
-  double ceiling_rate = 0;  // 0: no ceiling
+  double ceiling_rate = 0;  // hard limit; 0: none
   double ceiling_burst = 0;
-  double ceiling_slack = 0;
-  double excess_worth = 0;  // share of worth earned beyond the quota
-  double over_cost = 0;     // share of worth charged beyond the quota
+  double ceiling_slack = 0;  // tolerated beyond ceiling_burst
+  double excess_worth = 0;   // share of worth earned beyond the quota
+  double over_cost = 0;      // share of worth charged beyond the quota
   double price = 0;
-  int parallel = 0;  // 0: no cap on attempts out at once
+  int parallel = 0;  // cap on attempts in flight; 0: none
 };
 
 struct Settings {
-  int gateway = 0;             // this gateway's number
-  int gateways = 0;            // how many there are
-  int configured_gateways = 0;       // as the settings say; 0: as `gateways` at the start
-  bool counted = true;         // this one is among them
-  bool lend_ceilings = false;  // parts of ceilings are told (OnShare), not cut evenly
+  int gateway = 0;              // this gateway's index
+  int gateways = 0;             // current number of gateways
+  int configured_gateways = 0;  // number as configured; 0: unknown
+  bool counted = true;          // this gateway is one of `gateways`; else it gets no part of what is split evenly
+  bool lend_ceilings = false;   // parts of ceilings are assigned by OnShare, not split evenly
   int zone = 0;
-  double resolution_s = 0;
-  bool push_discovery = false;
-  double max_units = 0;
-  bool may_count = false;
+  double resolution_s = 0;  // of timers
+  bool push_discovery = false;  // lists of backends are pushed; else they are subscribed to
+  double max_units = 0;    // of one request
+  bool may_count = false;  // there is a shared counter
   double count_timeout_s = 0;
-  double count_price = 0;
+  double count_price = 0;  // of one call to the counter, as a share of a request's worth
   double cross_zone_price = 0;
-  bool cancel = false;
-  bool hedging = false;
-  bool retry_after = false;
+  bool cancel = false;       // attempts can be cancelled
+  bool hedging = false;      // a request may have several attempts in flight
+  bool retry_after = false;  // refusals carry a Retry-After time
   double max_retry_after_s = 0;
-  int try_limit = 0;
-  double cold_from = 0;
-  double warm_after_s = 0;
-  double tip_multiple = 0;
-  double tip_after_s = 0;
-  double max_discovery_retry_s = 0;
+  int try_limit = 0;          // attempts for each request
+  double cold_from = 0;       // slow start: share of its capacity that a backend has right after a start,
+  double warm_after_s = 0;    // and time over which it rises to all of it
+  double tip_multiple = 0;    // a cold backend fails for good when it is sent so many times its capacity
+  double tip_after_s = 0;     // for so long
+  double max_discovery_retry_s = 0;  // longest wait after a failed request to discovery
   std::vector<ClassSettings> classes;
   std::vector<PlanSettings> plans;
 };
@@ -72,7 +76,7 @@
   int zone = 0;
   int cell = 0;
   double weight = 0;
-  double started_s = 0;  // clock of its last start; 0: long ago
+  double started_s = 0;  // time of its last start; 0: long ago
 };
 
 enum class ListKind { kDelta, kFull, kCached, kFailed };
@@ -82,11 +86,11 @@
   int cls = 0;
   int plan = 0;
   uint64_t customer = 0;
-  double left_s = 0;  // from now, or from its body's end where that is still coming
-  double body_s = 0;  // for which its body may still come; 0: it is whole
+  double left_s = 0;  // time left to answer, from the end of its body
+  double body_s = 0;  // for which its body may still arrive; 0: it is complete
   double units = 0;
   double entries = 1;  // gateways this customer may arrive through
-  // A work that another gateway had begun: its units are counted there. What it had tried, and when first.
+  // Taken over from another gateway, which charged its units; and what that knows of earlier attempts.
   bool resumed = false, may_have_run = false;
   double ran_age_s = 0;  // since the first attempt that may have run
   int ran_zone = 0, ran_cell = 0;
@@ -101,10 +105,11 @@
   Result result = Result::kOk;
   bool finished = false;
   uint32_t backend = 0;
-  double true_units = 0;  // 0: not told
-  bool resendable = true;      // the whole request is still held, so that it can be sent again
+  double true_units = 0;  // as the response reported; 0: not reported
+  bool resendable = true;  // the whole request is still held
 };
 
+// The counter's answer to an action of kind kCount.
 struct CountAnswer {
   uint64_t name = 0;
   double total = 0;
@@ -117,27 +122,27 @@
   uint32_t request = 0;
   uint32_t backend = 0;
   int attempt = 0;
-  uint64_t tag = 0;    // timer's tag, or the name of a count
-  double seconds = 0;  // patience, wait, stay-away or expiry
-  double amount = 0;   // added to the count
+  uint64_t tag = 0;    // kTimer: returned by OnTimer; kCount: name of the count
+  double seconds = 0;  // kSend: time-out; kTimer: wait; kRefuse: Retry-After; kCount: expiry
+  double amount = 0;   // kCount: added to the count
   std::string text;
 };
 using Actions = std::vector<Action>;
 
-// What a gateway has learned of its servers, for the process that takes its place. Times on the module's
-// clock.
+// Estimates of a gateway's backends, handed over to the process that replaces it in an upgrade.
 struct LearnedState {
   struct BackendEstimate {
     uint32_t id = 0;
+    // EWMAs of answer time over all backends' mean, and over the latency target; concurrency limit; failure rate.
     double relative_latency = 1, latency_ratio = 0, limit = 0, failure_rate = 0;
-    double cold_since = 0;  // 0: warm
+    double cold_since = 0;  // start of its slow start, on the clock of `now`; 0: warm
   };
   std::vector<BackendEstimate> backends;
-  std::vector<double> work, units;  // by class: s of an answer, mean units
-  double admit_share = 1, warm_work = 0;
+  std::vector<double> work, units;  // by class: mean answer time, mean units
+  double admit_share = 1, warm_work = 0;  // share of requests admitted; recent work of each warm backend, in seconds
 };
 
-// One gateway's decisions. Every call gets the clock, in seconds, and appends actions in order.
+// The policy of one gateway. Every call gets the current time and appends its actions in order. Not thread-safe.
 class Balancer {
  public:
   Balancer(const Settings& settings, uint64_t seed, double now, Actions* out);
@@ -147,25 +152,22 @@
 
   void OnList(double now, ListKind kind, const std::vector<Backend>& entries, Actions* out);
   void OnRequest(double now, const Request& request, Actions* out);
-  // The request's body is whole: its time begins.
+  // The request's body is complete: its time to answer starts.
   void OnBodyEnded(double now, uint32_t request, Actions* out);
-  // A good answer has begun, which the client is given as it comes: no time limit holds any more. Its outcome
-  // follows.
+  // A successful response has begun and is streamed to the client: time limits end. Its outcome follows.
   void OnStreamBegun(double now, uint32_t request, Actions* out);
   void OnOutcome(double now, const Outcome& outcome, Actions* out);
   void OnAbandoned(double now, uint32_t request, Actions* out);
   void OnTimer(double now, uint64_t tag, Actions* out);
-  // How many gateways are there now, in place of the number in the settings; and whether this one is counted
-  // among them: otherwise it has no part of what is cut by that number.
+  // Replaces Settings::gateways and Settings::counted.
   void OnFleet(int gateways, bool counted);
-  // The share of the customer's lent part that is this gateway's for so many seconds, in place of the one
-  // before.
+  // Sets this gateway's share of the customer's lent ceiling for so many seconds, in place of the one before.
   void OnShare(double now, uint64_t customer, double share, double seconds);
   void OnCount(double now, const CountAnswer& answer, Actions* out);
   LearnedState ExportLearned(double now) const;
-  // Takes it over; what is out of range, or of backends that are not listed, is passed over.
-  void ImportLearned(double now, const LearnedState& learned);
-  int EjectedCount(double now) const;  // ready backends that get nothing now, by the module's own choice
+  // Ignores values that are out of range and backends that are not listed.
+  void ImportLearned(double now, const LearnedState& from);
+  int EjectedCount(double now) const;  // ready backends that are ejected as outliers
 
  private:
   class Impl;
--- a/src/policy/common.h
+++ b/src/policy/common.h
@@ -1,3 +1,4 @@
+// Helpers with which the policy's parts append actions.
 #ifndef MICADOCK_POLICY_COMMON_H_
 #define MICADOCK_POLICY_COMMON_H_
 
@@ -12,18 +13,18 @@
 
 namespace micadock {
 
-inline Action& Emit(Actions* out, ActionKind kind, uint32_t request = 0) {
+inline Action& AddAction(Actions* out, ActionKind kind, uint32_t request = 0) {
   out->emplace_back();
   out->back().kind = kind;
   out->back().request = request;
   return out->back();
 }
-inline void Timer(Actions* out, double wait, uint64_t tag) {
-  Action& a = Emit(out, ActionKind::kTimer);
-  a.seconds = wait;
-  a.tag = tag;
+inline void SetTimer(Actions* out, double wait_s, uint64_t tag) {
+  Action& action = AddAction(out, ActionKind::kTimer);
+  action.seconds = wait_s;
+  action.tag = tag;
 }
-inline void Log(Actions* out, std::string text) { Emit(out, ActionKind::kLog).text = std::move(text); }
+inline void Log(Actions* out, std::string text) { AddAction(out, ActionKind::kLog).text = std::move(text); }
 
 }  // namespace micadock
 
--- a/src/policy/fleet.h
+++ b/src/policy/fleet.h
@@ -1,4 +1,4 @@
-// The servers: what is known of them, which one gets a request, and how much of what comes is let in at all.
+// The backends: load balancing, outlier ejection, slow start, concurrency limits and load shedding.
 #ifndef MICADOCK_POLICY_FLEET_H_
 #define MICADOCK_POLICY_FLEET_H_
 
@@ -9,86 +9,86 @@
 
 namespace micadock {
 
-struct Node {
+struct Host {
   Backend info;
-  int out = 0;
-  double speed = 1;  // time an answer takes over the fleet's mean for such requests
-  double pace = 0;   // mean of answer time over aim
-  double fails = 0;
-  double aside_until = 0, aside_wait = 0;
-  bool back = false;   // no longer drains, and has had nothing since: it is asked first, once, to be known
-  bool trial = false;  // back from being set aside: one attempt at a time
-  double limit = 0;
-  double cut_at = 0, paced_at = 0;
-  double cold_since = 0;             // start told by the list or guessed from failures to connect; 0: warm
-  double budget = 0, budget_at = 0;  // work, in s, that may be sent while cold
-  double heard = 0;                  // last answer
+  int in_flight = 0;            // this gateway's attempts
+  double relative_latency = 1;  // EWMA of answer time over the mean of all backends for such requests
+  double latency_ratio = 0;     // EWMA of answer time over the class's latency target
+  double failure_rate = 0;      // EWMA
+  double ejected_until = 0, ejection_s = 0;
+  bool returned_from_drain = false;  // preferred for its first attempt, since its health is not known
+  bool on_probation = false;         // after an ejection: one attempt at a time
+  double limit = 0;                  // concurrency limit
+  double limit_cut_at = 0, latency_at = 0;  // last cut of the limit, last update of latency_ratio
+  double cold_since = 0;             // start as listed, or inferred from failed connections; 0: warm
+  double budget = 0, budget_at = 0;  // slow start: seconds of work that may be sent now; last refill
+  double last_answer_at = 0;
 };
 
-struct Try {
-  uint32_t node;
-  double sent;
-  bool out;
-  bool begun = false;  // its answer has: what it tells of the backend has been learned
+struct Attempt {
+  uint32_t backend_id;
+  double sent_at;
+  bool in_flight;
+  bool outcome_recorded = false;  // its response has begun, and already counts in the backend's estimates
 };
 
-struct Live {
-  Request r;
+struct ActiveRequest {
+  Request request;
   double deadline = 0;
-  std::vector<Try> tries;
-  int out = 0;
-  bool again = true;  // it is held whole
-  bool done = false, began = false, inside = false, may_have_run = false;
+  std::vector<Attempt> attempts;
+  int in_flight = 0;
+  bool resendable = true;  // the whole request is still held
+  bool answered = false, streaming = false, within_quota = false, may_have_run = false;
   double ran_at = 0;  // when the first attempt that may have run was sent
   int ran_zone = 0, ran_cell = 0;
 };
 
-class Fleet {
+class BackendPool {
  public:
-  Fleet(const Settings& s, Dice* dice, Ticks* ticks);
+  BackendPool(const Settings& s, Dice* dice, Ticks* ticks);
 
   void OnList(double now, ListKind kind, const std::vector<Backend>& entries);
-  Node* Find(uint32_t id);
+  Host* Find(uint32_t id);
   LearnedState ExportLearned(double now) const;
-  void ImportLearned(double now, const LearnedState& learned);
-  int EjectedCount(double now) const;  // of those that the list has ready
-  double WorkOf(const Request& r) const;  // s that its answer is to take
-  double Work(int cls) const { return work_[cls]; }
-  void Seen(const Request& r) { longest_left_[r.cls] = std::max(longest_left_[r.cls], r.left_s); }
+  void ImportLearned(double now, const LearnedState& from);
+  int EjectedCount(double now) const;  // of the backends listed as ready
+  double ExpectedWork(const Request& r) const;  // expected answer time in seconds
+  double ClassWork(int cls) const { return work_[cls]; }
+  void ObserveTimeLeft(const Request& r) { max_time_left_[r.cls] = std::max(max_time_left_[r.cls], r.left_s); }
 
-  // While the back end is pressed, the last of the room is kept for what is worth most for the work it makes, and
-  // nothing is left for a retry that can't be in time. Harms a class whose work is misjudged.
-  bool Crowded(const Request& r, bool lent);
-  // Least expected time over own attempts out and learned speed; other zones cost more.
-  Node* Pick(const Live& l, double now);
-  void Sent(Node* n, const Request& r);
-  void Learn(Node* n, const Live& l, const Try& t, const Outcome& o, double now, Actions* out);
-  void Fault(Node* n, bool dead, double now, Actions* out);
-  void Steer(double pace, double now);
+  // Admission control: whether to shed the request. Under overload the last capacity is kept for classes with the
+  // most worth per second of work, and retries that can't be in time get none. Depends on sound estimates of work.
+  bool ShouldShed(const Request& r, bool borrowed);
+  // The backend of least cost: latency times attempts in flight, with penalties for failures and for other zones.
+  Host* Pick(const ActiveRequest& active, double now);
+  void OnSent(Host* host, const Request& r);
+  void OnOutcome(Host* host, const ActiveRequest& active, const Attempt& attempt, const Outcome& outcome,
+                 double now, Actions* out);
+  void OnFault(Host* host, bool may_be_dead, double now, Actions* out);
+  // Adjusts the share of requests admitted by one answer's time over the latency target.
+  void AdjustAdmitShare(double latency_ratio, double now);
 
  private:
-  // How surely a zone is lost, 0 to 1: several of its backends silent and none heard is one event, not many.
-  double Silence(int zone, double now) const;
-  void Silent(int zone, bool silent, double now);
-  bool ColdRoom(Node* n, double now);
-  void Chill(Node* n, double since, double now);
-  bool InGroup(const Live& l, const Node& n) const;
-  void Cut(Node* n, double now);
+  // Failure estimate of a zone, 0 to 1: backends that fail together in a zone are one event, not many.
+  double ZoneFailureRate(int zone, double now) const;
+  void ObserveZone(int zone, bool failed, double now);
+  bool HasColdBudget(Host* host, double now);
+  void StartWarmup(Host* host, double since, double now);
+  bool InRetryScope(const ActiveRequest& active, const Host& host) const;
+  void CutLimit(Host* host, double now);
 
   const Settings& s_;
   Dice* dice_;
   Ticks* ticks_;
-  std::vector<Node> nodes_;
-  std::vector<double> work_;          // s, mean time of an answer by class
-  std::vector<double> class_units_;   // mean units by class
-  struct Quiet {
-    double share = 0, at = 0;
-  };
-  std::unordered_map<int, Quiet> silent_;  // by zone
-  std::vector<double> longest_left_;  // s, the most a try of the class had
-  int warm_ = 0;                        // backends warm and ready
-  double warm_work_ = 0, warm_at_ = 0;  // s of work served by a warm backend, fading
-  double let_in_ = 1, steered_at_ = 0;  // share of requests let in, by the answers of all backends
+  std::vector<Host> backends_;
+  std::vector<double> work_;         // by class: EWMA of answer time, s
+  std::vector<double> class_units_;  // by class: EWMA of units
+  struct ZoneFailures { double rate = 0, at = 0; };
+  std::unordered_map<int, ZoneFailures> zone_failures_;
+  std::vector<double> max_time_left_;  // by class: largest left_s of any request; a smaller one marks a retry
+  int warm_count_ = 0;                          // ready backends past slow start
+  double warm_work_ = 0, warm_at_ = 0;     // decaying sum of work, in s, done by each warm backend
+  double admit_share_ = 1, adjusted_at_ = 0;  // share of requests admitted, by the answers of all backends
 };
 
 }  // namespace micadock
--- a/tests/gateway/quota_bound_test.cpp
+++ b/tests/gateway/quota_bound_test.cpp
@@ -80,8 +80,8 @@
 // Has met a hundred modest partners, with the counter silent.
 void MeetOthers(QuotaGateway* g, double now) {
   for (uint64_t other = 100; other < 200; ++other) {
-    g->Ask(now - 0.5, 1, other);
-    g->LearnInside(other);
+    g->TryAdmit(now - 0.5, 1, other);
+    g->LearnWithinQuota(other);
     for (const Action& call : std::exchange(g->calls, {})) g->Answer(now - 0.4, call, Result::kTimeout, 0);
   }
 }
@@ -110,7 +110,7 @@
       double now = start + stretch * (step + 1) / (gateways * steps);
       int at = in_turn ? step % gateways : step / steps;
       QuotaGateway& g = *all[static_cast<size_t>(at)];
-      if (g.Ask(now, units)) sent += units;
+      if (g.TryAdmit(now, units)) sent += units;
       for (const Action& call : std::exchange(g.calls, {})) {
         Fate fallen = fate(at, now);
         if (fallen.result == Result::kOk && fallen.added) counter[call.tag] += call.amount;
@@ -200,7 +200,7 @@
       next += 10;
     }
     for (auto& g : all) {
-      if (g->Ask(now, 1)) sent += 1;
+      if (g->TryAdmit(now, 1)) sent += 1;
       for (const Action& call : std::exchange(g->calls, {})) g->Answer(now, call, Result::kTimeout, 0);
     }
   }
--- a/tests/policy/quotas_test.cpp
+++ b/tests/policy/quotas_test.cpp
@@ -1,5 +1,5 @@
-// Quotas asked alone, without servers, against a counter that is sound, loses answers, or answers anything:
-// what must hold of the books in any order of answers, losses and time-outs.
+// Tests of Quotas without backends, against a counter that is sound, loses answers or returns arbitrary
+// totals, in any order of answers, losses and time-outs.
 #include "policy/quotas.h"
 
 #include <gtest/gtest.h>
@@ -15,21 +15,21 @@
 namespace micadock {
 namespace {
 
-// Any order of answers, refusals, cut calls and silence: the least total that a sound counter can tell, as a
-// gateway has it, never exceeds what was truly added; and what was added never exceeds what was sent.
+// In any order of answers, refusals, time-outs and late additions, a gateway's lower bound of the counter's
+// total never exceeds what was added, and what was added never exceeds what was sent.
 TEST(Floor, NeverExceedsWhatWasAddedAndNothingIsAddedTwice) {
   int answers = 0, lost = 0, added_late = 0;
   for (uint64_t seed = 1; seed <= 300; ++seed) {
     std::mt19937_64 random(seed);
     auto draw = [&] { return std::uniform_real_distribution<>(0, 1)(random); };
-    double now = 100 * kWindow;  // one window, so that one name holds it all
+    double now = 100 * kWindow;  // all within one window, so under one name
     std::vector<std::unique_ptr<QuotaGateway>> gateways;
     for (uint64_t g = 0; g < 3; ++g)
       gateways.push_back(std::make_unique<QuotaGateway>(QuotaSite(3), seed * 10 + g, now));
     Counter counter;
     double sent = 0;
     uint64_t name = 0;
-    std::vector<Action> late;  // given up, and added by the counter long after
+    std::vector<Action> late;  // timed out, and added by the counter long after
     for (int step = 0; step < 200; ++step) {
       now += 0.9 * kWindow / 200;
       if (!late.empty() && draw() < 0.2) {
@@ -46,18 +46,18 @@
       }
       Action call = g.calls.front();
       g.calls.erase(g.calls.begin());
-      if (call.amount != 0) name = call.tag;  // else it reads the window before
+      if (call.amount != 0) name = call.tag;  // otherwise it reads the window before
       double fate = draw();
       if (fate < 0.15) {
         g.Answer(now, call, Result::kConnectFailed, 0);  // nothing added
       } else if (fate < 0.3) {
-        g.Answer(now, call, Result::kTimeout, 0);  // may have been added: here it was not
+        g.Answer(now, call, Result::kTimeout, 0);  // may have been added; here it was not
         ++lost;
       } else if (fate < 0.37) {
-        g.Answer(now, call, Result::kTimeout, 0);  // here it will be
+        g.Answer(now, call, Result::kTimeout, 0);  // added later
         late.push_back(call);
       } else if (fate < 0.45) {
-        counter[call.tag] += call.amount;  // and here it was
+        counter[call.tag] += call.amount;  // added, but the answer is lost
         g.Answer(now, call, Result::kTimeout, 0);
         ++lost;
       } else {
@@ -67,8 +67,8 @@
       }
       ASSERT_LE(counter[name], sent + 1e-9) << "seed " << seed << ", step " << step;
       for (const auto& each : gateways) {
-        if (step < 100) continue;  // all have asked by then
-        ASSERT_LE(each->customer().total, counter[name] + 1e-9) << "seed " << seed;
+        if (step < 100) continue;  // all have reported by then
+        ASSERT_LE(each->customer().min_total, counter[name] + 1e-9) << "seed " << seed;
       }
     }
   }
@@ -77,14 +77,14 @@
   EXPECT_GT(added_late, 500);
 }
 
-// Totals of no sense, silence, late answers: a gateway by itself never passes more than two stores and the
-// rate.
+// Whatever the counter answers (impossible totals, failures, late answers), one gateway never admits more
+// than two bursts and the rate.
 TEST(Alone, KeepsToTwoStoresAndTheRateWhateverTheCounterAnswers) {
   double most = 0;
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     std::mt19937_64 random(seed);
     auto draw = [&] { return std::uniform_real_distribution<>(0, 1)(random); };
-    double now = 50, level = 2 * kBurst;  // a store of two bursts, full at first, never forgiven
+    double now = 50, level = 2 * kBurst;  // a bucket of two bursts, full at first
     QuotaGateway g(QuotaSite(3), seed, now);
     double kind = draw();
     for (int step = 0; step < 3000; ++step) {
@@ -99,27 +99,28 @@
         g.Answer(now, call, result, total);
       }
       double units = 1 + std::floor(4 * draw());
-      if (g.Ask(now, units)) level -= units;
+      if (g.TryAdmit(now, units)) level -= units;
       ASSERT_GE(level, -1e-6) << "seed " << seed << " at " << now;
       most = std::max(most, 2 * kBurst - level);
     }
   }
-  EXPECT_GT(most, kBurst) << "else the second store is an empty promise";
+  EXPECT_GT(most, kBurst) << "otherwise the bound of two bursts is not reached";
 }
 
 double SentInSilence(int gateways, double seconds, Result result) {
   Settings s = QuotaSite(gateways);
   double now = 100, sent = 0;
   QuotaGateway g(s, 3, now);
-  // Idle but for one unit, told of by a sound counter: a full store, half of the quota taken for used.
-  g.Ask(now, 1);
+  // One unit, reported to a sound counter: the bucket is nearly full, and half of the rate is assumed to be
+  // used.
+  g.TryAdmit(now, 1);
   while (!g.calls.empty()) {
     Action call = g.calls.front();
     g.calls.erase(g.calls.begin());
     g.Answer(now + 0.002, call, Result::kOk, call.amount);
   }
   for (double end = now + seconds; now < end; now += 0.01) {
-    if (g.Ask(now, 1)) sent += 1;
+    if (g.TryAdmit(now, 1)) sent += 1;
     for (const Action& call : std::exchange(g.calls, {})) g.Answer(now, call, result, 0);
   }
   return sent;
@@ -130,33 +131,34 @@
     for (int gateways : {2, 3, 10}) {
       double sent = SentInSilence(gateways, 100, result);
       EXPECT_LE(sent, kBurst + kUnusedShareFactor * kRate * 100 / gateways + 1)
-          << gateways;  // shares are even from the first
+          << gateways;  // shares are even from the start
       EXPECT_GE(sent, kBurst / 2 + 0.9 * kRate * 100 / gateways) << gateways;
     }
   }
 }
 
-// Totals that stand still though this gateway added to them: it goes by its part, and says so.
+// A frozen counter: totals don't rise though this gateway added to them. It enforces its part, and logs that.
 TEST(Stale, IsNoticedByWhatThisGatewayAdded) {
   double now = 100, sent = 0, calls = 0;
   QuotaGateway g(QuotaSite(3), 3, now);
   for (double end = now + 100; now < end; now += 0.01) {
-    if (g.Ask(now, 1)) sent += 1;
-    for (int n = 0; n < 50 && !g.calls.empty(); ++n) {  // an answer may bring the next call at once
+    if (g.TryAdmit(now, 1)) sent += 1;
+    for (int n = 0; n < 50 && !g.calls.empty(); ++n) {  // an answer may trigger the next call at once
       Action call = g.calls.front();
       g.calls.erase(g.calls.begin());
       g.Answer(now, call, Result::kOk, 0);
-      g.Count(now);
+      g.ReportUnits(now);
       ++calls;
     }
   }
-  EXPECT_LE(sent, 0.6 * kRate * 100) << "a gateway that noticed nothing sends all of it";
-  EXPECT_LE(calls, 2 * sent) << "totals that tell nothing are not asked for again and again";
+  EXPECT_LE(sent, 0.6 * kRate * 100) << "a gateway that does not notice sends all of the rate";
+  EXPECT_LE(calls, 2 * sent) << "frozen totals are not read over and over";
   ASSERT_FALSE(g.log.empty());
-  EXPECT_EQ(g.log[0], "counter has lost counts: keeping what was known");
+  EXPECT_EQ(g.log[0], "counter total went backwards: keeping the local count");
 }
 
-// A correction of others lowers a total and later units raise it again: these are not counted twice.
+// Another gateway's correction lowers a total, and later units raise it again: these must not be counted
+// twice.
 TEST(Floor, IsNotLoweredByACorrection) {
   double now = 200.1;
   QuotaGateway g(QuotaSite(2), 1, now);
@@ -172,26 +174,26 @@
   tell(5);  // others: one less
   g.Charge(now, 1);
   tell(7);  // and one more again
-  EXPECT_DOUBLE_EQ(g.customer().used, 2 + 3 + 1 + 1);
-  EXPECT_TRUE(g.log.empty()) << "a correction is no loss";
+  EXPECT_DOUBLE_EQ(g.customer().window_used, 2 + 3 + 1 + 1);
+  EXPECT_TRUE(g.log.empty()) << "a correction is not logged as lost counts";
 }
 
-// Over ten gateways an even part of the store is less than a unit. It is met anew after an idle window: the
-// first pass of long ago is no reason to refuse it.
-TEST(Idle, IsMetAnew) {
+// An even part of the burst over ten gateways is less than one unit. A customer that returns after idle
+// windows is treated as new: units sent before the first read long ago must not count against it.
+TEST(Idle, CustomerIsTreatedAsNew) {
   double now = 200.1;
   QuotaGateway g(QuotaSite(10), 1, now);
-  EXPECT_TRUE(g.Ask(now, 2));
+  EXPECT_TRUE(g.TryAdmit(now, 2));
   while (!g.calls.empty()) {
     Action call = g.calls.front();
     g.calls.erase(g.calls.begin());
     g.Answer(now + 0.002, call, Result::kOk, call.amount);
   }
   now += 3 * kWindow;
-  EXPECT_TRUE(g.Ask(now, 2));
+  EXPECT_TRUE(g.TryAdmit(now, 2));
 }
 
-// What one gateway knows to be lacking in the store at a window's start, all come to know, whoever tells
+// All gateways settle on the largest debt carried into a window that one of them knows, whichever reports
 // first.
 TEST(Window, AllComeToGoByTheMostThatOneCarries) {
   double now = 200;  // a window's start
@@ -210,21 +212,21 @@
   a.Charge(now + 0.1, 6);
   now += 0.2;
   serve(a);
-  b.Charge(now, 8);  // a does not hear of it
+  b.Charge(now, 8);  // not reported to a
   now += 0.1;
   serve(b);
   b.Charge(now, 1);
   serve(b);
-  now = 200 + kWindow + 0.01;  // 15 of 16 are used: 7 are lacking, of which `a` knows none
+  now = 200 + kWindow + 0.01;  // 15 of 16 are used: the debt is 7, of which `a` knows nothing
   a.Charge(now, 1);
   serve(a);
   b.Charge(now, 1);
   serve(b);
-  b.Count(now);
+  b.ReportUnits(now);
   serve(b);
   a.Charge(now, 1);
   serve(a);
-  EXPECT_GE(a.customer().used, 7 + 2 - 1e-9);
+  EXPECT_GE(a.customer().window_used, 7 + 2 - 1e-9);
 }
 
 }  // namespace
--- a/tests/policy/upgrade_and_bodies_test.cpp
+++ b/tests/policy/upgrade_and_bodies_test.cpp
@@ -1,4 +1,5 @@
-// The module's part in upgrades and in bodies that are not whole at once.
+// Tests of the policy's state transfer in upgrades, and of requests and responses whose bodies arrive over
+// time.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,7 +11,7 @@
 namespace micadock {
 namespace {
 
-std::vector<Backend> Listing(int backends, double started_s = 0) {
+std::vector<Backend> MakeBackends(int backends, double started_s = 0) {
   std::vector<Backend> list;
   for (int i = 0; i < backends; ++i) {
     Backend b;
@@ -22,20 +23,21 @@
   return list;
 }
 
-class Module {
+class Harness {
  public:
-  explicit Module(const std::vector<Backend>& list, double at = 100) : now(at), b(Of(), 7, at, &out) {
-    b.OnList(now, ListKind::kFull, list, &out);
-    out.clear();
+  explicit Harness(const std::vector<Backend>& list, double at = 100)
+      : now(at), balancer(UnlimitedSettings(), 7, at, &actions) {
+    balancer.OnList(now, ListKind::kFull, list, &actions);
+    actions.clear();
   }
-  static Settings Of() {
+  static Settings UnlimitedSettings() {
     Settings s = Site();
     s.may_count = false;
     for (PlanSettings& p : s.plans) p.rate = p.burst = 1e6;
     return s;
   }
-  // The backend that the request went to; 0: it was not sent.
-  uint32_t Ask(double body_s = 0, int cls = 0) {
+  // Makes a request; returns the backend that it was sent to, or 0.
+  uint32_t MakeRequest(double body_s = 0, int cls = 0) {
     Request r;
     r.id = ++last;
     r.cls = cls;
@@ -43,143 +45,149 @@
     r.left_s = 1.0;
     r.body_s = body_s;
     r.units = 1;
-    out.clear();
-    b.OnRequest(now, r, &out);
-    const Action* send = Got(ActionKind::kSend);
+    actions.clear();
+    balancer.OnRequest(now, r, &actions);
+    const Action* send = FindAction(ActionKind::kSend);
     return send == nullptr ? 0 : send->backend;
   }
-  void End(uint32_t request, uint32_t backend, Result result, bool again = true, bool finished = false) {
+  void EndAttempt(uint32_t request, uint32_t backend, Result result, bool again = true,
+                  bool finished = false) {
     Outcome o;
     o.request = request;
     o.result = result;
     o.backend = backend;
     o.resendable = again;
     o.finished = finished || result == Result::kOk;
-    out.clear();
-    b.OnOutcome(now, o, &out);
+    actions.clear();
+    balancer.OnOutcome(now, o, &actions);
   }
-  const Action* Got(ActionKind kind) const {
-    auto it = std::find_if(out.begin(), out.end(), [&](const Action& a) { return a.kind == kind; });
-    return it == out.end() ? nullptr : &*it;
+  const Action* FindAction(ActionKind kind) const {
+    auto it = std::find_if(actions.begin(), actions.end(), [&](const Action& a) { return a.kind == kind; });
+    return it == actions.end() ? nullptr : &*it;
   }
-  // How many may be out at once.
-  int Room() {
+  // The number of requests that may be in flight at once.
+  int Capacity() {
     int n = 0;
-    while (n < 1000 && Ask() != 0) ++n;
+    while (n < 1000 && MakeRequest() != 0) ++n;
     return n;
   }
 
   double now;
   uint32_t last = 0;
-  Actions out;
-  Balancer b;
+  Actions actions;
+  Balancer balancer;
 };
 
 TEST(Upgrade, TheNewModuleHasTheLimitsThatTheOldOneLearned) {
-  Module old(Listing(2));
-  for (int round = 0; round < 200; ++round) {  // quick answers, several out at once
+  Harness old(MakeBackends(2));
+  for (int round = 0; round < 200; ++round) {  // quick answers, several in flight at once
     std::vector<std::pair<uint32_t, uint32_t>> sent;
     for (int i = 0; i < 6; ++i) {
-      if (uint32_t at = old.Ask(); at != 0) sent.emplace_back(old.last, at);
+      if (uint32_t at = old.MakeRequest(); at != 0) sent.emplace_back(old.last, at);
     }
     old.now += 0.01;
-    for (auto [request, at] : sent) old.End(request, at, Result::kOk);
+    for (auto [request, at] : sent) old.EndAttempt(request, at, Result::kOk);
   }
-  Module fresh(Listing(2), old.now), told(Listing(2), old.now);
-  told.b.ImportLearned(told.now, old.b.ExportLearned(old.now));
-  int without = fresh.Room(), with = told.Room();
-  EXPECT_EQ(with, old.Room());
+  Harness fresh(MakeBackends(2), old.now), successor(MakeBackends(2), old.now);
+  successor.balancer.ImportLearned(successor.now, old.balancer.ExportLearned(old.now));
+  int without = fresh.Capacity(), with = successor.Capacity();
+  EXPECT_EQ(with, old.Capacity());
   EXPECT_GT(with, without);
 }
 
-// A backend that the old process knew to be cold is cold to the new one, though the list does not tell.
+// A backend in slow start at the old process stays in slow start at the new one, though the list doesn't say
+// so.
 TEST(Upgrade, WhatWasColdStaysCold) {
-  Module old(Listing(1));
-  std::vector<Backend> started = Listing(1, old.now);
-  old.b.OnList(old.now, ListKind::kDelta, started, &old.out);
-  Module fresh(Listing(1)), told(Listing(1));
-  told.b.ImportLearned(told.now, old.b.ExportLearned(old.now));
-  EXPECT_NE(fresh.Ask(), 0u);
-  EXPECT_EQ(told.Ask(), 0u) << "its room is not handed on, and begins anew";
+  Harness old(MakeBackends(1));
+  std::vector<Backend> started = MakeBackends(1, old.now);
+  old.balancer.OnList(old.now, ListKind::kDelta, started, &old.actions);
+  Harness fresh(MakeBackends(1)), successor(MakeBackends(1));
+  successor.balancer.ImportLearned(successor.now, old.balancer.ExportLearned(old.now));
+  EXPECT_NE(fresh.MakeRequest(), 0u);
+  EXPECT_EQ(successor.MakeRequest(), 0u)
+      << "its slow-start budget is not handed over, and starts at zero or below";
 }
 
 TEST(Upgrade, WhatIsOutOfRangeOrNotListedIsPassedOver) {
-  Module told(Listing(2)), plain(Listing(2));
+  Harness successor(MakeBackends(2)), plain(MakeBackends(2));
   LearnedState odd;
   odd.work = {-1, 1e9};
   odd.units = {1};
   odd.admit_share = -3;
   odd.warm_work = -1;
   odd.backends = {{50, -1, 0, 5, 0, 0}, {51, 1, 0, 1e9, 0, 0}, {77, 1, 0, 9, 0, 0}, {50, 1, 0, 5, 0, 1e12}};
-  told.b.ImportLearned(told.now, odd);
-  EXPECT_EQ(told.Room(), plain.Room() + 2) << "the one entry that is sound, but for its start in the future";
+  successor.balancer.ImportLearned(successor.now, odd);
+  EXPECT_EQ(successor.Capacity(), plain.Capacity() + 2)
+      << "one entry is applied, but for its start in the future";
 }
 
-// However slow it was before: nothing else would tell whether it is sound now.
+// Even if it was slow before: only an attempt shows its state now.
 TEST(Upgrade, ABackendThatIsBackFromADrainIsAskedFirstOnce) {
-  Module m(Listing(2));
+  Harness m(MakeBackends(2));
   LearnedState learned;
   learned.backends = {{50, 5, 0, 5, 0, 0}, {51, 0.2, 0, 5, 0, 0}};
-  m.b.ImportLearned(m.now, learned);
+  m.balancer.ImportLearned(m.now, learned);
   auto ask = [&] {
-    uint32_t at = m.Ask();
+    uint32_t at = m.MakeRequest();
     m.now += 0.01;
-    m.End(m.last, at, Result::kOk);
+    m.EndAttempt(m.last, at, Result::kOk);
     return at;
   };
   EXPECT_EQ(ask(), 51u);
-  std::vector<Backend> one = {Listing(2)[0]};
+  std::vector<Backend> one = {MakeBackends(2)[0]};
   one[0].state = BackendState::kDraining;
-  m.b.OnList(m.now, ListKind::kDelta, one, &m.out);
+  m.balancer.OnList(m.now, ListKind::kDelta, one, &m.actions);
   EXPECT_EQ(ask(), 51u);
   one[0].state = BackendState::kReady;
-  m.b.OnList(m.now, ListKind::kDelta, one, &m.out);
+  m.balancer.OnList(m.now, ListKind::kDelta, one, &m.actions);
   EXPECT_EQ(ask(), 50u);
-  EXPECT_EQ(ask(), 51u) << "from then on by what is known";
+  EXPECT_EQ(ask(), 51u) << "after that by its estimates";
 }
 
 TEST(Bodies, ARequestsTimeBeginsWhenItsBodyIsWhole) {
-  Module m(Listing(1));
-  ASSERT_NE(m.Ask(5), 0u);
-  EXPECT_GT(m.Got(ActionKind::kSend)->seconds, 5) << "so long may the body take";
+  Harness m(MakeBackends(1));
+  ASSERT_NE(m.MakeRequest(5), 0u);
+  EXPECT_GT(m.FindAction(ActionKind::kSend)->seconds, 5) << "the time-out includes the time for the body";
   m.now += 4;
-  m.out.clear();
-  m.b.OnTimer(m.now, m.last, &m.out);
-  EXPECT_EQ(m.Got(ActionKind::kRefuse), nullptr);
-  EXPECT_EQ(m.Got(ActionKind::kFail), nullptr);
-  m.b.OnBodyEnded(m.now, m.last, &m.out);
+  m.actions.clear();
+  m.balancer.OnTimer(m.now, m.last, &m.actions);
+  EXPECT_EQ(m.FindAction(ActionKind::kRefuse), nullptr);
+  EXPECT_EQ(m.FindAction(ActionKind::kFail), nullptr);
+  m.balancer.OnBodyEnded(m.now, m.last, &m.actions);
   m.now += 0.999;
-  m.out.clear();
-  m.b.OnTimer(m.now, m.last, &m.out);
-  EXPECT_NE(m.Got(ActionKind::kRefuse), nullptr) << "a request without effect that is out of time";
+  m.actions.clear();
+  m.balancer.OnTimer(m.now, m.last, &m.actions);
+  EXPECT_NE(m.FindAction(ActionKind::kRefuse), nullptr)
+      << "an idempotent request past its deadline is refused";
 }
 
 TEST(Bodies, NoAttemptFollowsOnceTheBodyHasGone) {
   for (bool again : {true, false}) {
-    Module m(Listing(2));
-    uint32_t at = m.Ask(0, 2);
+    Harness m(MakeBackends(2));
+    uint32_t at = m.MakeRequest(0, 2);
     ASSERT_NE(at, 0u);
-    m.End(m.last, at, Result::kConnectFailed, again);
-    EXPECT_EQ(m.Got(ActionKind::kSend) != nullptr, again);
-    EXPECT_EQ(m.Got(ActionKind::kRefuse) != nullptr, !again) << "it has not run: asking again is harmless";
+    m.EndAttempt(m.last, at, Result::kConnectFailed, again);
+    EXPECT_EQ(m.FindAction(ActionKind::kSend) != nullptr, again);
+    EXPECT_EQ(m.FindAction(ActionKind::kRefuse) != nullptr, !again)
+        << "it has not run, so the client may safely retry";
   }
 }
 
-// An answer that goes on for long is no work that waits at the backend, and no sign of a slow one.
+// A response that streams for long is not queued work at the backend, and does not show a slow backend.
 TEST(Bodies, ABegunAnswerLeavesItsPlaceAtTheBackend) {
-  Module m(Listing(1));
-  int room = m.Room();
+  Harness m(MakeBackends(1));
+  int room = m.Capacity();
   for (uint32_t request = 1; request <= static_cast<uint32_t>(room); ++request)
-    m.b.OnStreamBegun(m.now, request, &m.out);
-  EXPECT_NE(m.Ask(), 0u);
+    m.balancer.OnStreamBegun(m.now, request, &m.actions);
+  EXPECT_NE(m.MakeRequest(), 0u);
   uint32_t late = m.last;
   m.now += 30;
-  m.out.clear();
-  m.b.OnTimer(m.now, 1, &m.out);
-  EXPECT_TRUE(m.out.empty()) << "no time limit holds any more";
-  m.End(1, 50, Result::kReset, true, true);
-  EXPECT_EQ(m.Got(ActionKind::kSend), nullptr) << "what has begun is not tried again";
-  m.End(late, 50, Result::kOk);
+  m.actions.clear();
+  m.balancer.OnTimer(m.now, 1, &m.actions);
+  EXPECT_TRUE(m.actions.empty()) << "time limits end with the start of the response";
+  m.EndAttempt(1, 50, Result::kReset, true, true);
+  EXPECT_EQ(m.FindAction(ActionKind::kSend), nullptr) << "a response that has begun is not retried";
+  m.EndAttempt(late, 50, Result::kOk);
 }
 
 }  // namespace
--- a/tests/rig/policy_site.h
+++ b/tests/rig/policy_site.h
@@ -1,4 +1,4 @@
-// The settings that tests of the decision module start from.
+// Default settings for tests of the balancing policy.
 #ifndef IVYGW_TESTS_RIG_POLICY_SITE_H_
 #define IVYGW_TESTS_RIG_POLICY_SITE_H_
 
@@ -6,7 +6,7 @@
 
 namespace micadock {
 
-// A site of one plan and three classes; every test names what it changes.
+// One plan and three classes, one for each Effect.
 inline Settings Site() {
   Settings s;
   s.gateways = 3;
@@ -14,7 +14,7 @@
   s.push_discovery = true;
   s.max_units = 4;
   s.may_count = true;
-  s.count_timeout_s = 0.3;  // too long for a try to be held for: tests of that shorten it
+  s.count_timeout_s = 0.3;  // too long for a request to be held; tests of holding shorten it
   s.cancel = true;
   s.retry_after = true;
   s.max_retry_after_s = 2;
--- a/tests/rig/quota_gateway.h
+++ b/tests/rig/quota_gateway.h
@@ -1,4 +1,4 @@
-// One gateway's quotas asked alone, without servers, and the counter's calls that it makes.
+// Drives the Quotas of one gateway without backends, and collects the calls to the counter that it makes.
 #ifndef IVYGW_TESTS_RIG_QUOTA_GATEWAY_H_
 #define IVYGW_TESTS_RIG_QUOTA_GATEWAY_H_
 
@@ -14,7 +14,7 @@
 inline constexpr uint64_t kCustomer = 7;
 inline constexpr double kRate = 4, kBurst = 8, kWindow = kBurst / kRate;
 
-// One plan that lends nothing.
+// One plan whose excess earns nothing.
 inline Settings QuotaSite(int gateways) {
   Settings s = Site();
   s.gateways = gateways;
@@ -25,54 +25,54 @@
   return s;
 }
 
-// One gateway's quotas, with the calls that are out.
+// One gateway's quotas, with the calls in progress.
 class QuotaGateway {
  public:
   QuotaGateway(const Settings& settings, uint64_t seed, double start)
       : settings_(settings), dice_(seed), quotas_(settings_, &dice_, &ticks_, start) {}
 
-  // Whether a try is sent on at once; a try that would be held for the counter is refused here.
-  bool Ask(double now, double units, uint64_t customer = kCustomer) {
+  // Whether a request is admitted at once; requests are never held for the counter here.
+  bool TryAdmit(double now, double units, uint64_t customer = kCustomer) {
     Request r;
     r.customer = customer;
     r.units = units;
     r.left_s = 1;
     r.entries = settings_.gateways;
-    Customer& c = quotas_.Find(r, now);
+    Customer& c = quotas_.FindOrCreate(r, now);
     double chance = 0;
-    bool in = quotas_.Judge(&c, r, 0.02, now, &chance) == Verdict::kInside;
+    bool in = quotas_.Check(&c, r, 0.02, now, &chance) == Verdict::kWithinQuota;
     if (in) quotas_.Admit(&c, r, true, false);
-    Count(now, customer);
+    ReportUnits(now, customer);
     return in;
   }
-  // A customer of the plan was found to be inside when the counter was asked.
-  void LearnInside(uint64_t customer) { quotas_.LearnInside(quotas_.Peek(customer), true); }
-  // Charges without asking, so that what is told is exactly what was charged.
+  // Records that a held request of the customer was within its quota.
+  void LearnWithinQuota(uint64_t customer) { quotas_.LearnWithinQuota(quotas_.Lookup(customer), true); }
+  // Charges without an admission check, so that what is reported is exactly what was charged.
   void Charge(double now, double units) {
     Request r;
     r.customer = kCustomer;
     r.units = units;
     r.entries = settings_.gateways;
-    Customer& c = quotas_.Find(r, now);
+    Customer& c = quotas_.FindOrCreate(r, now);
     double chance = 0;
-    quotas_.Judge(&c, r, 0.02, now, &chance);  // brings the books to this time
+    quotas_.Check(&c, r, 0.02, now, &chance);  // refills the bucket up to `now`
     quotas_.Charge(&c, units, 1);
-    Count(now);
+    ReportUnits(now);
   }
-  void Count(double now, uint64_t customer = kCustomer) {
-    if (Customer* c = quotas_.Peek(customer)) quotas_.MaybeCount(customer, c, now, &actions_);
-    Gather();
+  void ReportUnits(double now, uint64_t customer = kCustomer) {
+    if (Customer* c = quotas_.Lookup(customer)) quotas_.MaybeReportUnits(customer, c, now, &actions_);
+    CollectActions();
   }
   void Answer(double now, const Action& call, Result result, double total) {
     quotas_.OnCount(now, {call.tag, total, result}, &actions_);
-    Gather();
+    CollectActions();
   }
-  const Customer& customer() { return *quotas_.Peek(kCustomer); }
-  std::vector<Action> calls;  // out, in the order of their making
+  const Customer& customer() { return *quotas_.Lookup(kCustomer); }
+  std::vector<Action> calls;  // in progress, oldest first
   std::vector<std::string> log;
 
  private:
-  void Gather() {
+  void CollectActions() {
     for (Action& a : actions_) {
       if (a.kind == ActionKind::kCount) calls.push_back(a);
       if (a.kind == ActionKind::kLog) log.push_back(a.text);
@@ -86,7 +86,7 @@
   Actions actions_;
 };
 
-// The counter as it truly is: names that live for ever, with the sum of what was added to each.
+// A counter without faults: the sum of what was added under each name; names never expire.
 using Counter = std::map<uint64_t, double>;
 
 }  // namespace micadock
