--- a/apps/ivygw_replay.cpp
+++ b/apps/ivygw_replay.cpp
@@ -87,7 +87,7 @@
     std::printf("%zu %.6f %s\n", turn, at_s, recorded.start ? "start" : trace::Text(recorded.event).c_str());
     for (const core::Effect& e : effects) {
       // Names at the counter differ from those of the recorded run, whose customers are not known.
-      bool named = std::holds_alternative<core::Count>(e);
+      bool named = std::holds_alternative<core::CallCounter>(e);
       std::printf("  %s\n", named && !options.dump ? "count" : trace::Text(e).c_str());
     }
     if (options.request != 0) std::printf("  %s\n", replay.Describe(options.request).c_str());
--- a/src/core/backend_book.h
+++ b/src/core/backend_table.h
@@ -1,8 +1,8 @@
 // Backends as listed, their drains, and the connections to them: which one an exchange takes, how it ends,
 // what is kept and what is closed. Pure: sockets are the driver's, time is told. Which backend gets a request
 // is the decision module's word alone.
-#ifndef IVYGW_CORE_BACKEND_BOOK_H_
-#define IVYGW_CORE_BACKEND_BOOK_H_
+#ifndef IVYGW_CORE_BACKEND_TABLE_H_
+#define IVYGW_CORE_BACKEND_TABLE_H_
 
 #include <cstdint>
 #include <list>
@@ -17,13 +17,13 @@
 namespace ivygw::core {
 
 struct ConnectionLimits {
-  double idle_s = 0;  // the backends' own; 0: not told
+  double idle_timeout_s = 0;  // the backends' own; 0: not told
   double connect_timeout_s = 0;
   double drain_grace_s = 0;  // after which a draining backend gets nothing new
-  size_t most = 1;           // connections at once
+  size_t max_connections = 1;
 };
 
-struct Listed {
+struct ListedBackend {
   micadock::Backend backend;
   uint64_t address = 0;  // the driver's word for it
 };
@@ -36,17 +36,17 @@
   uint32_t backend = 0;
   double began = 0, give_up = 0;
 };
-struct ExchangeEnd {
+struct ExchangeResult {
   Exchange exchange;
   micadock::Result result = micadock::Result::kOk;
 };
 
-class BackendBook {
+class BackendTable {
  public:
-  explicit BackendBook(const ConnectionLimits& limits);
+  explicit BackendTable(const ConnectionLimits& limits);
 
   // The list as told: the changes, or the whole, from which what is absent has gone.
-  void TakeList(double now, bool whole, const std::vector<Listed>& entries, Effects* out);
+  void TakeList(double now, bool whole, const std::vector<ListedBackend>& entries, Effects* out);
   // Nothing new goes to the backend from now on, without the grace that discovery's word has.
   void Bar(uint32_t backend, double now);
   bool MaySend(uint32_t backend, double now) const;
@@ -59,17 +59,18 @@
   std::optional<bool> Cancel(uint64_t exchange, Effects* out);
 
   // What happens to connections. Those that the book does not know (any more) change nothing.
-  std::optional<ExchangeEnd> OnConnected(double now, uint64_t connection, Effects* out);
-  std::optional<ExchangeEnd> OnLost(double now, uint64_t connection,
-                                    Effects* out);  // also: could not connect
-  std::optional<ExchangeEnd> OnStale(double now, uint64_t connection, TimerQueue* timers, Effects* out);
+  std::optional<ExchangeResult> OnConnectionOpened(double now, uint64_t connection, Effects* out);
+  std::optional<ExchangeResult> OnConnectionLost(double now, uint64_t connection,
+                                                 Effects* out);  // also: could not connect
+  std::optional<ExchangeResult> OnConnectionStale(double now, uint64_t connection, TimerQueue* timers,
+                                                  Effects* out);
   // Its last byte is out: from here on it may have run. False where the book knows of no such attempt.
-  bool OnWritten(uint64_t connection);
+  bool OnRequestWritten(uint64_t connection);
   // A whole answer. `keep`: the connection is fit for another.
-  std::optional<ExchangeEnd> OnAnswer(double now, uint64_t connection, micadock::Result result, bool keep,
-                                      Effects* out);
-  std::optional<ExchangeEnd> OnDue(double now, Due due, uint64_t exchange,
-                                   Effects* out);  // kConnect or kPatience
+  std::optional<ExchangeResult> OnResponse(double now, uint64_t connection, micadock::Result result,
+                                           bool keep, Effects* out);
+  std::optional<ExchangeResult> OnDue(double now, TimerKind due, uint64_t exchange,
+                                      Effects* out);  // kConnect or kPatience
 
   uint32_t RequestOf(uint64_t connection) const;  // whose exchange is on it; 0: none
   // A good answer has begun: patience no longer holds. Its exchange, or none where there is no such attempt.
@@ -83,14 +84,14 @@
   void CloseIdle(double now, Effects* out);
 
   // What is known of a backend, for a person to read.
-  struct View {
+  struct Status {
     bool known = false, draining = false;
-    size_t kept = 0;  // idle connections
+    size_t idle_connections = 0;
   };
-  View Look(uint32_t backend) const;
+  Status GetStatus(uint32_t backend) const;
   size_t connections() const { return connections_.size(); }
   size_t idle() const { return idle_.size(); }
-  size_t out() const { return out_.size(); }
+  size_t in_flight() const { return out_.size(); }
   size_t backends() const { return backends_.size(); }
 
  private:
@@ -120,7 +121,7 @@
   uint64_t Place(double now, const Exchange& exchange, TimerQueue* timers, Effects* out);
   bool MakeRoom(Effects* out);
   void Drop(uint64_t connection, Effects* out);  // closes it, whatever it does
-  ExchangeEnd End(uint64_t connection, micadock::Result result, Effects* out);
+  ExchangeResult End(uint64_t connection, micadock::Result result, Effects* out);
 
   const ConnectionLimits limits_;
   std::unordered_map<uint32_t, Backend> backends_;  // named by discovery and not gone
@@ -132,4 +133,4 @@
 
 }  // namespace ivygw::core
 
-#endif  // IVYGW_CORE_BACKEND_BOOK_H_
+#endif  // IVYGW_CORE_BACKEND_TABLE_H_
--- a/src/core/counter_book.h
+++ b/src/core/counter_call_table.h
@@ -1,7 +1,7 @@
 // Calls to the shared counter: each ends once, as added, not added, or may have been added. Pure; the
 // connections are the driver's.
-#ifndef IVYGW_CORE_COUNTER_BOOK_H_
-#define IVYGW_CORE_COUNTER_BOOK_H_
+#ifndef IVYGW_CORE_COUNTER_CALL_TABLE_H_
+#define IVYGW_CORE_COUNTER_CALL_TABLE_H_
 
 #include <cstdint>
 #include <optional>
@@ -13,16 +13,16 @@
 
 namespace ivygw::core {
 
-class CounterBook {
+class CounterCallTable {
  public:
   // `timeout_s`: for which an answer is waited for.
-  explicit CounterBook(double timeout_s) : timeout_s_(timeout_s) {}
+  explicit CounterCallTable(double timeout_s) : timeout_s_(timeout_s) {}
 
   void Begin(double now, const micadock::Action& count, TimerQueue* timers, Effects* out) {
     uint64_t call = ++last_;
     calls_[call] = {count.tag, false};
-    timers->Add(now + timeout_s_, Due::kCount, call);
-    out->push_back(Count{call, count.tag, count.amount, count.seconds});
+    timers->Add(now + timeout_s_, TimerKind::kCount, call);
+    out->push_back(CallCounter{call, count.tag, count.amount, count.seconds});
   }
   // From here on it may have been added.
   void OnWritten(uint64_t call) {
@@ -30,7 +30,7 @@
     if (it != calls_.end()) it->second.written = true;
   }
   // The counter's answer; one that comes after the time-out is passed over.
-  std::optional<micadock::CountAnswer> OnAnswer(uint64_t call, micadock::Result result, double total) {
+  std::optional<micadock::CountAnswer> OnResponse(uint64_t call, micadock::Result result, double total) {
     return End(call, result, total);
   }
   // Its connection has ended, or there is none.
@@ -42,12 +42,12 @@
   std::optional<micadock::CountAnswer> OnDue(uint64_t call, Effects* out) {
     auto it = calls_.find(call);
     if (it == calls_.end()) return std::nullopt;
-    if (!it->second.written) out->push_back(DropCount{call});
+    if (!it->second.written) out->push_back(CancelCounterCall{call});
     return OnLost(call);
   }
 
   bool IsOut(uint64_t call) const { return calls_.count(call) != 0; }
-  size_t out() const { return calls_.size(); }
+  size_t in_flight() const { return calls_.size(); }
 
  private:
   struct Call {
@@ -69,4 +69,4 @@
 
 }  // namespace ivygw::core
 
-#endif  // IVYGW_CORE_COUNTER_BOOK_H_
+#endif  // IVYGW_CORE_COUNTER_CALL_TABLE_H_
--- a/src/core/drain.h
+++ b/src/core/drain.h
@@ -14,7 +14,7 @@
   // False if it was so before: a second call does not begin the drain anew.
   bool Begin(double now) {
     if (on()) return false;
-    closing_at_ = now + kDrainComingS;
+    closing_at_ = now + kDrainIdleCloseDelayS;
     return true;
   }
   bool End() {
--- a/src/core/driver.h
+++ b/src/core/driver.h
@@ -30,7 +30,7 @@
   }
 
   // Now, or after what is running.
-  void Tell(Event event) {
+  void Dispatch(Event event) {
     if (running_) return later_.push_back(std::move(event));
     running_ = true;
     Run(event);
@@ -50,12 +50,12 @@
   void Run(const Event& event) {
     double now = port_->Now();
     size_t before = effects_.size();
-    core_->On(now, event, &effects_);
+    core_->Handle(now, event, &effects_);
     if (tap_)
       tap_(now, &event,
            before == 0 ? effects_ : Effects(effects_.begin() + static_cast<long>(before), effects_.end()));
     for (Effect& effect : effects_) {
-      std::visit([this](auto& what) { port_->Do(what); }, effect);
+      std::visit([this](auto& what) { port_->Execute(what); }, effect);
     }
     effects_.clear();
   }
--- a/src/core/effects.h
+++ b/src/core/effects.h
@@ -11,13 +11,13 @@
 namespace ivygw::core {
 
 // The request that has just come from `client` is held under this number.
-struct Hold {
+struct RegisterRequest {
   uint32_t request = 0;
   uint64_t client = 0;
 };
 // The one final answer to `client`. With status 200 it is what the exchange on `connection`, told of last,
 // brought.
-struct Answer {
+struct SendResponse {
   uint64_t client = 0;
   uint32_t request = 0;
   int status = 0;            // 200, 429 or 503 (refused), 502 (given up), 503 or 504 (its time is up)
@@ -26,57 +26,57 @@
 };
 // The one final answer to `client` begins: it is what the exchange on `connection` brings, from what it has
 // brought on.
-struct BeginAnswer {
+struct StartResponse {
   uint64_t client = 0;
   uint32_t request = 0;
   uint64_t connection = 0;
 };
 // That answer can't be finished: its client must be able to tell that it is not whole.
-struct BreakAnswer {
+struct AbortResponse {
   uint64_t client = 0;
   uint32_t request = 0;
 };
 // Nothing of the request is open any more: what the driver keeps of it (its body) is of no further use.
-struct Forget {
+struct ReleaseRequest {
   uint32_t request = 0;
 };
 
 // To a backend. `address` is the driver's own word for where it listens.
-struct Connect {
+struct OpenConnection {
   uint64_t connection = 0;
   uint64_t address = 0;
 };
-// The whole request, to be told that it is waited for `patience_s`. On a `kept` connection the driver looks
+// The whole request, to be told that it is waited for `timeout_s`. On a `kept` connection the driver looks
 // first whether the backend has ended it, and tells of it (`OnStale`) instead of writing.
-struct Write {
+struct WriteRequest {
   uint64_t connection = 0;
   uint32_t request = 0;
   int attempt = 0;
-  double patience_s = 0;
-  bool kept = false;
+  double timeout_s = 0;
+  bool reused = false;
 };
-struct Close {
+struct CloseConnection {
   uint64_t connection = 0;
 };
 
-// A call to the shared counter: adds `amount` to `name`, which lives for `keep_s`.
-struct Count {
+// A call to the shared counter: adds `amount` to `name`, which lives for `ttl_s`.
+struct CallCounter {
   uint64_t call = 0, name = 0;
-  double amount = 0, keep_s = 0;
+  double amount = 0, ttl_s = 0;
 };
 // The call has been told as never added: it must not go out any more.
-struct DropCount {
+struct CancelCounterCall {
   uint64_t call = 0;
 };
 
 // Of a recorded request: an attempt is to be made durable, and waits for IntentTold.
-struct Intend {
+struct RecordIntent {
   uint32_t request = 0;
   int attempt = 0;
   uint32_t backend = 0;
 };
 // What came of one that was.
-struct AttemptOver {
+struct RecordAttemptEnd {
   uint32_t request = 0;
   int attempt = 0;
   bool may_have_run = false;
@@ -85,16 +85,18 @@
 struct Log {
   std::string text;
 };
-struct Subscribe {};          // discovery is to be followed
-struct AskClientsToClose {};  // from now on each answer ends its connection
-struct KeepClients {};        // AskClientsToClose no longer holds
-struct CloseIdleClients {};   // connections on which nothing has begun
-struct StopIfQuiet {};        // end the program if no client is connected or waits to be
-struct Stop {};               // end the program
+struct SubscribeToDiscovery {};        // discovery is to be followed
+struct DisableClientKeepAlive {};      // from now on each answer ends its connection
+struct EnableClientKeepAlive {};       // AskClientsToClose no longer holds
+struct CloseIdleClientConnections {};  // connections on which nothing has begun
+struct StopIfIdle {};                  // end the program if no client is connected or waits to be
+struct Stop {};                        // end the program
 
-using Effect = std::variant<Hold, Answer, Forget, Connect, Write, Close, Count, DropCount, Log, Subscribe,
-                            AskClientsToClose, CloseIdleClients, StopIfQuiet, Stop, KeepClients, BeginAnswer,
-                            BreakAnswer, Intend, AttemptOver>;
+using Effect =
+    std::variant<RegisterRequest, SendResponse, ReleaseRequest, OpenConnection, WriteRequest, CloseConnection,
+                 CallCounter, CancelCounterCall, Log, SubscribeToDiscovery, DisableClientKeepAlive,
+                 CloseIdleClientConnections, StopIfIdle, Stop, EnableClientKeepAlive, StartResponse,
+                 AbortResponse, RecordIntent, RecordAttemptEnd>;
 using Effects = std::vector<Effect>;
 
 }  // namespace ivygw::core
--- a/src/core/events.h
+++ b/src/core/events.h
@@ -8,13 +8,13 @@
 #include <variant>
 #include <vector>
 
-#include "core/backend_book.h"
+#include "core/backend_table.h"
 #include "policy/balance.h"
 
 namespace ivygw::core {
 
 // A sound request of a client.
-struct Arrival {
+struct RequestArrived {
   uint64_t client = 0;  // the driver's word for whom to answer; one request at a time
   std::string id;       // the client's; not open (IsOpen)
   int cls = 0, plan = 0;
@@ -30,94 +30,97 @@
   double ran_age_s = 0;  // since the first attempt that may have run
   int ran_zone = 0, ran_cell = 0;
 };
-struct ClientGone {  // its connection has ended, held or not
+struct ClientDisconnected {  // its connection has ended, held or not
   uint64_t client = 0;
 };
-struct Connected {
+struct ConnectionOpened {
   uint64_t connection = 0;
 };
-struct Written {  // the message's last byte is out
+struct RequestWritten {  // the message's last byte is out
   uint64_t connection = 0;
 };
-struct Answered {
+struct ResponseReceived {
   uint64_t connection = 0;
   micadock::Result result = micadock::Result::kOk;
   double true_units = 0;
-  bool keep = false;
+  bool reusable = false;
 };
-struct Lost {  // refused, reset, ended, spoilt
+struct ConnectionLost {  // refused, reset, ended, spoilt
   uint64_t connection = 0;
 };
-struct Stale {  // a kept one had ended before it was written to
+struct ConnectionStale {  // a kept one had ended before it was written to
   uint64_t connection = 0;
 };
-struct ListTold {
+struct BackendListUpdated {
   micadock::ListKind kind = micadock::ListKind::kFull;
-  std::vector<Listed> entries;
+  std::vector<ListedBackend> entries;
 };
-struct ListFailed {};
-struct CountWritten {
+struct DiscoveryFailed {};
+struct CounterCallWritten {
   uint64_t call = 0;
 };
-struct CountAnswered {
+struct CounterResponseReceived {
   uint64_t call = 0;
   micadock::Result result = micadock::Result::kOk;
   double total = 0;
 };
-struct CountLost {
+struct CounterCallLost {
   uint64_t call = 0;
 };
-struct TimeCame {};
-struct ShutdownBegun {};
+struct TimerExpired {};
+struct ShutdownRequested {};
 // Operators' words.
-struct BanTold {  // a backend is to be left out, or put back
+struct BackendBanChanged {  // a backend is to be left out, or put back
   uint32_t backend = 0;
-  bool out = false;
+  bool banned = false;
 };
 // Of requests and answers that are not whole at once.
-struct BodyGone {  // the request's body is no longer held from its beginning: it can't be sent again
+struct BodyDiscarded {  // the request's body is no longer held from its beginning: it can't be sent again
   uint32_t request = 0;
 };
-struct BodyEnded {  // the request's body is whole: its time begins
+struct BodyCompleted {  // the request's body is whole: its time begins
   uint32_t request = 0;
 };
-struct LearnedTold {  // what the process before had learned of the backends
+struct LearnedStateRestored {  // what the process before had learned of the backends
   micadock::Learned learned;
 };
-struct AnswerBegun {  // a good answer that goes to its client as it comes; Answered or Lost follows
+struct ResponseStarted {  // a good answer that goes to its client as it comes; Answered or Lost follows
   uint64_t connection = 0;
 };
-struct DrainTold {  // the gateway is to be emptied, or goes back to work
+struct DrainChanged {  // the gateway is to be emptied, or goes back to work
   bool on = false;
 };
 
 // Of works that outlive their gateway.
-struct IntentTold {  // the attempt is durable, or must not be made
+struct IntentResolved {  // the attempt is durable, or must not be made
   uint32_t request = 0;
   int attempt = 0;
   bool ok = false;
 };
-struct Withdrawn {  // the client's request is another gateway's now, or has been answered: nothing is sent or
-                    // said here
+struct RequestWithdrawn {  // the client's request is another gateway's now, or has been answered: nothing is
+                           // sent or
+                           // said here
   uint64_t client = 0;
 };
 // Of the fleet: how many gateways there are, and whether this one is counted among them.
-struct FleetTold {
+struct FleetSizeChanged {
   int gateways = 0;
   bool counted = true;
 };
 
 // A share of a customer's lent ceiling is this gateway's for so many seconds from now, in place of the one
 // before.
-struct ShareTold {
+struct QuotaShareGranted {
   uint64_t customer = 0;
   double share = 0, seconds = 0;
 };
 
 using Event =
-    std::variant<Arrival, ClientGone, Connected, Written, Answered, Lost, Stale, ListTold, ListFailed,
-                 CountWritten, CountAnswered, CountLost, TimeCame, ShutdownBegun, BanTold, DrainTold,
-                 BodyGone, BodyEnded, AnswerBegun, LearnedTold, IntentTold, Withdrawn, FleetTold, ShareTold>;
+    std::variant<RequestArrived, ClientDisconnected, ConnectionOpened, RequestWritten, ResponseReceived,
+                 ConnectionLost, ConnectionStale, BackendListUpdated, DiscoveryFailed, CounterCallWritten,
+                 CounterResponseReceived, CounterCallLost, TimerExpired, ShutdownRequested, BackendBanChanged,
+                 DrainChanged, BodyDiscarded, BodyCompleted, ResponseStarted, LearnedStateRestored,
+                 IntentResolved, RequestWithdrawn, FleetSizeChanged, QuotaShareGranted>;
 
 }  // namespace ivygw::core
 
--- a/src/core/gateway_core.cpp
+++ b/src/core/gateway_core.cpp
@@ -18,8 +18,8 @@
 GatewayCore::GatewayCore(const CoreSettings& settings, double now, Effects* out)
     : settings_(settings),
       backends_(settings.connections),
-      counts_(kCountPatience * settings.module.count_timeout_s) {
-  figures_.classes.resize(settings.module.classes.size());
+      counts_(kCounterTimeoutFactor * settings.module.count_timeout_s) {
+  stats_.classes.resize(settings.module.classes.size());
   balancer_.emplace(settings_.module, settings_.seed, now, &actions_);
   Tell(now, out, [](Balancer&, double, Actions*) {});  // what it asked for at its start
   Settle(now, out);
@@ -45,61 +45,65 @@
       return Finish(action.request, action.seconds > 0 ? 429 : 503, action.seconds, 0, out);
     case ActionKind::kFail: return Finish(action.request, 502, 0, 0, out);
     case ActionKind::kTimer:
-      return timers_.Add(now + std::max(0.0, action.seconds), Due::kModule, action.tag);
+      return timers_.Add(now + std::max(0.0, action.seconds), TimerKind::kModule, action.tag);
     case ActionKind::kCount:
       if (settings_.has_counter) return counts_.Begin(now, action, &timers_, out);
       return uncounted_.push_back(action.tag);
     case ActionKind::kLog: return out->push_back(Log{std::move(action.text)});
-    case ActionKind::kSubscribe: return out->push_back(Subscribe{});
+    case ActionKind::kSubscribe: return out->push_back(SubscribeToDiscovery{});
   }
 }
 
-void GatewayCore::On(double now, const Event& event, Effects* out) {
+void GatewayCore::Handle(double now, const Event& event, Effects* out) {
   struct Visitor {
     GatewayCore* core;
     double now;
     Effects* out;
-    void operator()(const Arrival& e) { core->OnRequest(now, e, out); }
-    void operator()(const ClientGone& e) { core->OnClientGone(now, e.client, out); }
-    void operator()(const Connected& e) { core->OnConnected(now, e.connection, out); }
-    void operator()(const Written& e) { core->OnWritten(now, e.connection, out); }
-    void operator()(const Answered& e) {
-      core->OnAnswer(now, e.connection, e.result, e.true_units, e.keep, out);
+    void operator()(const RequestArrived& e) { core->OnRequest(now, e, out); }
+    void operator()(const ClientDisconnected& e) { core->OnClientDisconnected(now, e.client, out); }
+    void operator()(const ConnectionOpened& e) { core->OnConnectionOpened(now, e.connection, out); }
+    void operator()(const RequestWritten& e) { core->OnRequestWritten(now, e.connection, out); }
+    void operator()(const ResponseReceived& e) {
+      core->OnResponse(now, e.connection, e.result, e.true_units, e.reusable, out);
     }
-    void operator()(const Lost& e) { core->OnLost(now, e.connection, out); }
-    void operator()(const Stale& e) { core->OnStale(now, e.connection, out); }
-    void operator()(const ListTold& e) { core->OnList(now, e.kind, e.entries, out); }
-    void operator()(const ListFailed&) { core->OnListFailed(now, out); }
-    void operator()(const CountWritten& e) { core->OnCountWritten(e.call); }
-    void operator()(const CountAnswered& e) { core->OnCountAnswer(now, e.call, e.result, e.total, out); }
-    void operator()(const CountLost& e) { core->OnCountLost(now, e.call, out); }
-    void operator()(const TimeCame&) { core->OnTime(now, out); }
-    void operator()(const ShutdownBegun&) { core->BeginShutdown(now, out); }
-    void operator()(const BodyGone& e) { core->OnBodyGone(e.request); }
-    void operator()(const BodyEnded& e) { core->OnBodyEnded(now, e.request, out); }
-    void operator()(const AnswerBegun& e) { core->OnAnswerBegun(now, e.connection, out); }
-    void operator()(const LearnedTold& e) { core->OnLearned(now, e.learned); }
-    void operator()(const IntentTold& e) { core->OnIntent(now, e.request, e.attempt, e.ok, out); }
-    void operator()(const Withdrawn& e) { core->OnWithdrawn(now, e.client, out); }
-    void operator()(const FleetTold& e) { core->OnFleet(e.gateways, e.counted); }
-    void operator()(const ShareTold& e) { core->balancer_->OnShare(now, e.customer, e.share, e.seconds); }
-    void operator()(const BanTold& e) { core->OnBan(now, e.backend, e.out, out); }
-    void operator()(const DrainTold& e) { core->OnDrain(now, e.on, out); }
+    void operator()(const ConnectionLost& e) { core->OnConnectionLost(now, e.connection, out); }
+    void operator()(const ConnectionStale& e) { core->OnConnectionStale(now, e.connection, out); }
+    void operator()(const BackendListUpdated& e) { core->OnBackendList(now, e.kind, e.entries, out); }
+    void operator()(const DiscoveryFailed&) { core->OnDiscoveryFailed(now, out); }
+    void operator()(const CounterCallWritten& e) { core->OnCounterCallWritten(e.call); }
+    void operator()(const CounterResponseReceived& e) {
+      core->OnCounterResponse(now, e.call, e.result, e.total, out);
+    }
+    void operator()(const CounterCallLost& e) { core->OnCounterCallLost(now, e.call, out); }
+    void operator()(const TimerExpired&) { core->OnTimerExpired(now, out); }
+    void operator()(const ShutdownRequested&) { core->BeginShutdown(now, out); }
+    void operator()(const BodyDiscarded& e) { core->OnBodyDiscarded(e.request); }
+    void operator()(const BodyCompleted& e) { core->OnBodyCompleted(now, e.request, out); }
+    void operator()(const ResponseStarted& e) { core->OnResponseStarted(now, e.connection, out); }
+    void operator()(const LearnedStateRestored& e) { core->OnLearnedStateRestored(now, e.learned); }
+    void operator()(const IntentResolved& e) { core->OnIntentResolved(now, e.request, e.attempt, e.ok, out); }
+    void operator()(const RequestWithdrawn& e) { core->OnRequestWithdrawn(now, e.client, out); }
+    void operator()(const FleetSizeChanged& e) { core->OnFleetSizeChanged(e.gateways, e.counted); }
+    void operator()(const QuotaShareGranted& e) {
+      core->balancer_->OnShare(now, e.customer, e.share, e.seconds);
+    }
+    void operator()(const BackendBanChanged& e) { core->OnBanChanged(now, e.backend, e.banned, out); }
+    void operator()(const DrainChanged& e) { core->OnDrainChanged(now, e.on, out); }
   };
   std::visit(Visitor{this, now, out}, event);
 }
 
-uint32_t GatewayCore::OnRequest(double now, const Arrival& arrival, Effects* out) {
-  double margin = AnswerMargin(arrival.timeout_s),
+uint32_t GatewayCore::OnRequest(double now, const RequestArrived& arrival, Effects* out) {
+  double margin = ResponseMargin(arrival.timeout_s),
          deadline = now + arrival.body_s + arrival.timeout_s - margin / 2;
   bool free = settings_.module.classes[static_cast<size_t>(arrival.cls)].effect == micadock::Effect::kFree;
   uint32_t id = requests_.Take(arrival.client, arrival.id, arrival.cls, deadline, free);
-  Held* held = requests_.Find(id);
+  RequestState* held = requests_.Find(id);
   held->timeout_s = arrival.timeout_s;
   held->whole = arrival.body_s <= 0;
   held->recorded = arrival.recorded;
-  timers_.Add(deadline, Due::kGuard, id);
-  out->push_back(Hold{id, arrival.client});
+  timers_.Add(deadline, TimerKind::kGuard, id);
+  out->push_back(RegisterRequest{id, arrival.client});
   // Refused while nothing has been sent on, so that its client may go elsewhere; taken, it might be cut off.
   if (!arrival.resumed && shutdown_.CutsOff(deadline)) {
     Finish(id, 503, 0, 0, out);
@@ -126,7 +130,7 @@
   return id;
 }
 
-void GatewayCore::OnClientGone(double now, uint64_t client, Effects* out) {
+void GatewayCore::OnClientDisconnected(double now, uint64_t client, Effects* out) {
   if (uint32_t id = requests_.OfClient(client); id != 0) {
     requests_.Answer(id);
     Tell(now, out, [&](Balancer& b, double at, Actions* actions) { b.OnAbandoned(at, id, actions); });
@@ -136,7 +140,7 @@
     requests_.Ended(begun);
     const std::vector<Attempt>& attempts = requests_.Find(begun)->attempts;
     for (size_t i = 0; i < attempts.size(); ++i) {
-      if (attempts[i].out && backends_.Cancel(attempts[i].exchange, out)) {
+      if (attempts[i].in_flight && backends_.Cancel(attempts[i].exchange, out)) {
         told_.push_back({begun, static_cast<int>(i), Result::kCancelled});
       }
     }
@@ -144,20 +148,20 @@
   Settle(now, out);
 }
 
-void GatewayCore::OnBodyGone(uint32_t request) {
-  if (Held* held = requests_.Find(request)) held->body_gone = true;
+void GatewayCore::OnBodyDiscarded(uint32_t request) {
+  if (RequestState* held = requests_.Find(request)) held->body_gone = true;
 }
 
-void GatewayCore::OnBodyEnded(double now, uint32_t request, Effects* out) {
-  Held* held = requests_.Find(request);
+void GatewayCore::OnBodyCompleted(double now, uint32_t request, Effects* out) {
+  RequestState* held = requests_.Find(request);
   if (held != nullptr && !held->whole) {
     held->whole = true;
     if (!held->answered) {
-      double margin = AnswerMargin(held->timeout_s);
+      double margin = ResponseMargin(held->timeout_s);
       held->deadline = now + held->timeout_s - margin / 2;
-      timers_.Add(held->deadline, Due::kGuard, request);
+      timers_.Add(held->deadline, TimerKind::kGuard, request);
       for (const Attempt& a : held->attempts) {
-        if (a.out) backends_.SetGiveUp(a.exchange, now + held->timeout_s - margin, &timers_);
+        if (a.in_flight) backends_.SetGiveUp(a.exchange, now + held->timeout_s - margin, &timers_);
       }
       Tell(now, out, [&](Balancer& b, double at, Actions* actions) { b.OnBodyEnded(at, request, actions); });
     }
@@ -165,21 +169,21 @@
   Settle(now, out);
 }
 
-void GatewayCore::OnAnswerBegun(double now, uint64_t connection, Effects* out) {
+void GatewayCore::OnResponseStarted(double now, uint64_t connection, Effects* out) {
   uint32_t request = backends_.RequestOf(connection);
-  const Held* held = requests_.Find(request);
+  const RequestState* held = requests_.Find(request);
   // To a request that is not all written, or that has been answered, it is no answer.
   std::optional<Exchange> exchange;
   if (held != nullptr && !held->answered) exchange = backends_.Begin(connection);
-  if (!exchange) return OnLost(now, connection, out);
+  if (!exchange) return OnConnectionLost(now, connection, out);
   requests_.Begin(request, exchange->attempt);
-  out->push_back(BeginAnswer{held->client, request, connection});
+  out->push_back(StartResponse{held->client, request, connection});
   Tell(now, out, [&](Balancer& b, double at, Actions* actions) { b.OnStreamBegun(at, request, actions); });
   Settle(now, out);
 }
 
 void GatewayCore::Send(double now, const Action& action, Effects* out) {
-  Held* held = requests_.Find(action.request);
+  RequestState* held = requests_.Find(action.request);
   if (held == nullptr) return;
   int attempt = static_cast<int>(held->attempts.size());
   bool two = held->Out();
@@ -192,7 +196,7 @@
   if (held->recorded) {
     held->attempts.back().intended = true;
     held->attempts.back().patience_s = patience;
-    return out->push_back(Intend{action.request, attempt, action.backend});
+    return out->push_back(RecordIntent{action.request, attempt, action.backend});
   }
   Result placed = Place(now, action.request, attempt, patience, out);
   if (placed != Result::kOk) told_.push_back({action.request, attempt, placed});
@@ -208,20 +212,20 @@
 
 // A word about an attempt that does not wait for it changes nothing. Where the request has been answered
 // meanwhile, or the attempt has been taken back, nothing is sent: it is known never to have run.
-void GatewayCore::OnIntent(double now, uint32_t request, int attempt, bool ok, Effects* out) {
-  Held* held = requests_.Find(request);
+void GatewayCore::OnIntentResolved(double now, uint32_t request, int attempt, bool ok, Effects* out) {
+  RequestState* held = requests_.Find(request);
   size_t at = static_cast<size_t>(attempt);
   if (held == nullptr || attempt < 0 || at >= held->attempts.size() || !held->attempts[at].intended) return;
   Attempt& a = held->attempts[at];
   a.intended = false;
-  double patience = std::min(a.patience_s - (now - a.began), held->deadline - now);
+  double patience = std::min(a.patience_s - (now - a.started_at), held->deadline - now);
   bool may = ok && !held->answered && !held->body_gone && patience > 0 && !a.cancelled;
   Result placed = may ? Place(now, request, attempt, patience, out) : Result::kNeverSent;
   if (placed != Result::kOk) told_.push_back({request, attempt, placed});
   Settle(now, out);
 }
 
-void GatewayCore::OnWithdrawn(double now, uint64_t client, Effects* out) {
+void GatewayCore::OnRequestWithdrawn(double now, uint64_t client, Effects* out) {
   if (uint32_t id = requests_.OfClient(client); id != 0) {
     requests_.Answer(id);
     Tell(now, out, [&](Balancer& b, double at, Actions* actions) { b.OnAbandoned(at, id, actions); });
@@ -232,16 +236,17 @@
 
 // Closed before anything else goes out. What was not all written has not run, whatever was meant by it.
 void GatewayCore::Cancel(const Action& action, Effects* out) {
-  Held* held = requests_.Find(action.request);
+  RequestState* held = requests_.Find(action.request);
   size_t attempt = static_cast<size_t>(action.attempt);
-  if (held == nullptr || attempt >= held->attempts.size() || !held->attempts[attempt].out) return;
+  if (held == nullptr || attempt >= held->attempts.size() || !held->attempts[attempt].in_flight) return;
   held->attempts[attempt].cancelled = true;
   std::optional<bool> ran = backends_.Cancel(held->attempts[attempt].exchange, out);
   if (!ran) return;  // its own outcome is on the way
   told_.push_back({action.request, action.attempt, *ran ? Result::kCancelled : Result::kNeverSent});
 }
 
-void GatewayCore::Ended(double now, const std::optional<ExchangeEnd>& end, double true_units, Effects* out) {
+void GatewayCore::Ended(double now, const std::optional<ExchangeResult>& end, double true_units,
+                        Effects* out) {
   if (end) {
     Outcome(now, end->exchange.request, end->exchange.attempt, end->result, true_units,
             end->exchange.connection, out);
@@ -251,25 +256,25 @@
 
 void GatewayCore::Outcome(double now, uint32_t request, int number, Result result, double true_units,
                           uint64_t connection, Effects* out) {
-  Held* held = requests_.Find(request);
+  RequestState* held = requests_.Find(request);
   if (held == nullptr) return;
   Attempt& attempt = held->attempts[static_cast<size_t>(number)];
-  attempt.out = false;
+  attempt.in_flight = false;
   reporting_ = request;
-  if (held->recorded) out->push_back(AttemptOver{request, number, MayHaveRun(result)});
+  if (held->recorded) out->push_back(RecordAttemptEnd{request, number, MayHaveRun(result)});
   if (MayHaveRun(result)) held->may_have_run = true;
   // The first good answer goes to the client by itself and ends the request. Told to the module first would
   // be as good, but its client is waiting.
   if (result == Result::kOk && !held->answered) Finish(request, 200, 0, connection, out);
   if (held->streaming && held->stream == number) {
-    figures_.Answered(held->cls, result == Result::kOk ? 200 : 502);
-    if (result != Result::kOk) out->push_back(BreakAnswer{held->client, request});
+    stats_.Answered(held->cls, result == Result::kOk ? 200 : 502);
+    if (result != Result::kOk) out->push_back(AbortResponse{held->client, request});
     requests_.Ended(request);
   }
   micadock::Outcome outcome;
   outcome.request = request;
   outcome.attempt = number;
-  outcome.took_s = attempt.exchange == 0 ? 0 : now - attempt.began;
+  outcome.took_s = attempt.exchange == 0 ? 0 : now - attempt.started_at;
   outcome.result = result;
   outcome.finished = held->answered;
   outcome.backend = attempt.backend;
@@ -284,65 +289,67 @@
 void GatewayCore::Finish(uint32_t request, int status, double retry_after_s, uint64_t connection,
                          Effects* out) {
   if (!requests_.Answer(request)) return;
-  const Held& held = *requests_.Find(request);
-  figures_.Answered(held.cls, status);
-  out->push_back(Answer{held.client, request, status, retry_after_s, connection});
+  const RequestState& held = *requests_.Find(request);
+  stats_.Answered(held.cls, status);
+  out->push_back(SendResponse{held.client, request, status, retry_after_s, connection});
   ForgetIfOver(request, out);
 }
 
 // Unless an outcome of it is being told.
 void GatewayCore::ForgetIfOver(uint32_t request, Effects* out) {
-  if (reporting_ != request && requests_.ForgetIfOver(request)) out->push_back(Forget{request});
+  if (reporting_ != request && requests_.ForgetIfOver(request)) out->push_back(ReleaseRequest{request});
 }
 
 // The client's time is nearly up and the module has said nothing.
 void GatewayCore::Guard(double now, uint32_t request, Effects* out) {
-  Finish(request, RequestBook::GuardStatus(*requests_.Find(request)), 0, 0, out);
+  Finish(request, RequestTable::GuardStatus(*requests_.Find(request)), 0, 0, out);
   Tell(now, out, [&](Balancer& b, double at, Actions* actions) { b.OnAbandoned(at, request, actions); });
 }
 
-void GatewayCore::OnConnected(double now, uint64_t connection, Effects* out) {
+void GatewayCore::OnConnectionOpened(double now, uint64_t connection, Effects* out) {
   // Answered while it came up, and the module did not take the attempt back: nothing is sent after the
   // answer. Nor without the whole body.
-  const Held* held = requests_.Find(backends_.RequestOf(connection));
-  if (held != nullptr && (held->answered || held->body_gone)) return OnLost(now, connection, out);
-  Ended(now, backends_.OnConnected(now, connection, out), 0, out);
+  const RequestState* held = requests_.Find(backends_.RequestOf(connection));
+  if (held != nullptr && (held->answered || held->body_gone)) return OnConnectionLost(now, connection, out);
+  Ended(now, backends_.OnConnectionOpened(now, connection, out), 0, out);
 }
-void GatewayCore::OnWritten(double, uint64_t connection, Effects*) {
-  if (backends_.OnWritten(connection)) ++figures_.backend_calls;
+void GatewayCore::OnRequestWritten(double, uint64_t connection, Effects*) {
+  if (backends_.OnRequestWritten(connection)) ++stats_.backend_calls;
 }
-void GatewayCore::OnAnswer(double now, uint64_t connection, Result result, double true_units, bool keep,
-                           Effects* out) {
-  std::optional<ExchangeEnd> end = backends_.OnAnswer(now, connection, result, keep, out);
+void GatewayCore::OnResponse(double now, uint64_t connection, Result result, double true_units, bool keep,
+                             Effects* out) {
+  std::optional<ExchangeResult> end = backends_.OnResponse(now, connection, result, keep, out);
   Ended(now, end, end && end->result == Result::kOk ? true_units : 0, out);
 }
-void GatewayCore::OnLost(double now, uint64_t connection, Effects* out) {
-  Ended(now, backends_.OnLost(now, connection, out), 0, out);
+void GatewayCore::OnConnectionLost(double now, uint64_t connection, Effects* out) {
+  Ended(now, backends_.OnConnectionLost(now, connection, out), 0, out);
 }
-void GatewayCore::OnStale(double now, uint64_t connection, Effects* out) {
-  const Held* held = requests_.Find(backends_.RequestOf(connection));
-  if (held != nullptr && (held->answered || held->body_gone)) return OnLost(now, connection, out);
-  Ended(now, backends_.OnStale(now, connection, &timers_, out), 0, out);
+void GatewayCore::OnConnectionStale(double now, uint64_t connection, Effects* out) {
+  const RequestState* held = requests_.Find(backends_.RequestOf(connection));
+  if (held != nullptr && (held->answered || held->body_gone)) return OnConnectionLost(now, connection, out);
+  Ended(now, backends_.OnConnectionStale(now, connection, &timers_, out), 0, out);
 }
 
-void GatewayCore::OnList(double now, ListKind kind, const std::vector<Listed>& entries, Effects* out) {
+void GatewayCore::OnBackendList(double now, ListKind kind, const std::vector<ListedBackend>& entries,
+                                Effects* out) {
   if (kind != ListKind::kCached) ready_ = true;
   TellList(now, kind, bans_.Told(kind != ListKind::kDelta, entries), out);
   Settle(now, out);
 }
 
-void GatewayCore::TellList(double now, ListKind kind, const std::vector<Listed>& entries, Effects* out) {
+void GatewayCore::TellList(double now, ListKind kind, const std::vector<ListedBackend>& entries,
+                           Effects* out) {
   backends_.TakeList(now, kind != ListKind::kDelta, entries, out);
   std::vector<micadock::Backend> told;
-  for (const Listed& listed : entries) {
+  for (const ListedBackend& listed : entries) {
     told.push_back(listed.backend);
     if (bans_.Banned(listed.backend.id)) backends_.Bar(listed.backend.id, now);
   }
   Tell(now, out, [&](Balancer& b, double at, Actions* actions) { b.OnList(at, kind, told, actions); });
 }
 
-void GatewayCore::OnBan(double now, uint32_t backend, bool out_of_use, Effects* out) {
-  std::optional<Listed> told = out_of_use ? bans_.Ban(backend, now) : bans_.Lift(backend, now);
+void GatewayCore::OnBanChanged(double now, uint32_t backend, bool out_of_use, Effects* out) {
+  std::optional<ListedBackend> told = out_of_use ? bans_.Ban(backend, now) : bans_.Lift(backend, now);
   if (told) {
     TellList(now, ListKind::kDelta, {*told}, out);
   } else if (out_of_use) {
@@ -351,23 +358,23 @@
   Settle(now, out);
 }
 
-void GatewayCore::OnDrain(double now, bool on, Effects* out) {
+void GatewayCore::OnDrainChanged(double now, bool on, Effects* out) {
   bool changed = on ? drain_.Begin(now) : drain_.End();
   if (changed && !shutdown_.begun()) {
     if (on) {
-      out->push_back(AskClientsToClose{});
+      out->push_back(DisableClientKeepAlive{});
     } else {
-      out->push_back(KeepClients{});
+      out->push_back(EnableClientKeepAlive{});
     }
   }
   Settle(now, out);
 }
 
-size_t GatewayCore::Avoided(double now) const {
+size_t GatewayCore::UnavailableBackends(double now) const {
   return bans_.listed_and_banned() + static_cast<size_t>(balancer_->SetAside(now));
 }
 
-void GatewayCore::OnListFailed(double now, Effects* out) {
+void GatewayCore::OnDiscoveryFailed(double now, Effects* out) {
   ready_ = true;  // by the list as last known
   Tell(now, out,
        [](Balancer& b, double at, Actions* actions) { b.OnList(at, ListKind::kFailed, {}, actions); });
@@ -379,24 +386,24 @@
     Tell(now, out, [&](Balancer& b, double at, Actions* actions) { b.OnCount(at, *answer, actions); });
   Settle(now, out);
 }
-void GatewayCore::OnCountAnswer(double now, uint64_t call, Result result, double total, Effects* out) {
-  Counted(now, counts_.OnAnswer(call, result, total), out);
+void GatewayCore::OnCounterResponse(double now, uint64_t call, Result result, double total, Effects* out) {
+  Counted(now, counts_.OnResponse(call, result, total), out);
 }
-void GatewayCore::OnCountLost(double now, uint64_t call, Effects* out) {
+void GatewayCore::OnCounterCallLost(double now, uint64_t call, Effects* out) {
   Counted(now, counts_.OnLost(call), out);
 }
 
 bool GatewayCore::Void(const TimerQueue::Timer& timer) const {
   switch (timer.due) {
-    case Due::kModule: return false;
-    case Due::kGuard: {
-      const Held* held = requests_.Find(static_cast<uint32_t>(timer.tag));
+    case TimerKind::kModule: return false;
+    case TimerKind::kGuard: {
+      const RequestState* held = requests_.Find(static_cast<uint32_t>(timer.tag));
       return held == nullptr || held->answered ||
              timer.at < held->deadline;  // or another of this number, later
     }
-    case Due::kConnect: return !backends_.IsConnecting(timer.tag);
-    case Due::kPatience: return !backends_.IsOut(timer.tag) || backends_.HasBegun(timer.tag);
-    case Due::kCount: return !counts_.IsOut(timer.tag);
+    case TimerKind::kConnect: return !backends_.IsConnecting(timer.tag);
+    case TimerKind::kPatience: return !backends_.IsOut(timer.tag) || backends_.HasBegun(timer.tag);
+    case TimerKind::kCount: return !counts_.IsOut(timer.tag);
   }
   return false;
 }
@@ -406,17 +413,17 @@
   return std::min({timers_.next(), backends_.NextIdle(), shutdown_.next(now), drain_.next(now)});
 }
 
-void GatewayCore::OnTime(double now, Effects* out) {
+void GatewayCore::OnTimerExpired(double now, Effects* out) {
   for (const TimerQueue::Timer& timer : timers_.Take(now)) {
     if (Void(timer)) continue;
     switch (timer.due) {
-      case Due::kGuard: Guard(now, static_cast<uint32_t>(timer.tag), out); break;
-      case Due::kModule:
+      case TimerKind::kGuard: Guard(now, static_cast<uint32_t>(timer.tag), out); break;
+      case TimerKind::kModule:
         Tell(now, out, [&](Balancer& b, double at, Actions* actions) { b.OnTimer(at, timer.tag, actions); });
         break;
-      case Due::kConnect:
-      case Due::kPatience: Ended(now, backends_.OnDue(now, timer.due, timer.tag, out), 0, out); break;
-      case Due::kCount: Counted(now, counts_.OnDue(timer.tag, out), out); break;
+      case TimerKind::kConnect:
+      case TimerKind::kPatience: Ended(now, backends_.OnDue(now, timer.due, timer.tag, out), 0, out); break;
+      case TimerKind::kCount: Counted(now, counts_.OnDue(timer.tag, out), out); break;
     }
   }
   backends_.CloseIdle(now, out);
@@ -426,7 +433,7 @@
 void GatewayCore::BeginShutdown(double now, Effects* out) {
   double longest = 0;
   for (const auto& c : settings_.module.classes) longest = std::max(longest, c.deadline_s);
-  if (shutdown_.Begin(now, longest)) out->push_back(AskClientsToClose{});
+  if (shutdown_.Begin(now, longest)) out->push_back(DisableClientKeepAlive{});
   Settle(now, out);
 }
 
@@ -447,8 +454,8 @@
     }
   }
   if (shutdown_.over(now)) return out->push_back(Stop{});
-  if (drain_.closing(now) || shutdown_.closing(now)) out->push_back(CloseIdleClients{});
-  if (shutdown_.closing(now) && requests_.unanswered() == 0) out->push_back(StopIfQuiet{});
+  if (drain_.closing(now) || shutdown_.closing(now)) out->push_back(CloseIdleClientConnections{});
+  if (shutdown_.closing(now) && requests_.unanswered() == 0) out->push_back(StopIfIdle{});
 }
 
 }  // namespace ivygw::core
--- a/src/core/gateway_core.h
+++ b/src/core/gateway_core.h
@@ -15,15 +15,15 @@
 #include <string>
 #include <vector>
 
-#include "core/backend_book.h"
-#include "core/ban_book.h"
-#include "core/counter_book.h"
+#include "core/backend_table.h"
+#include "core/ban_table.h"
+#include "core/counter_call_table.h"
 #include "core/drain.h"
 #include "core/effects.h"
 #include "core/events.h"
-#include "core/figures.h"
-#include "core/request_book.h"
+#include "core/request_table.h"
 #include "core/shutdown.h"
+#include "core/stats.h"
 #include "core/timer_queue.h"
 #include "policy/balance.h"
 
@@ -41,70 +41,74 @@
   GatewayCore(const CoreSettings& settings, double now, Effects* out);
   ~GatewayCore();
 
-  void On(double now, const Event& event, Effects* out);  // any of the events below
+  void Handle(double now, const Event& event, Effects* out);  // any of the events below
 
   // Clients. OnRequest returns the request's number, the same as in Hold, its first effect.
   bool IsOpen(const std::string& id) const { return requests_.IsOpen(id); }
-  uint32_t OnRequest(double now, const Arrival& arrival, Effects* out);
-  void OnClientGone(double now, uint64_t client, Effects* out);  // its connection has ended, held or not
+  uint32_t OnRequest(double now, const RequestArrived& arrival, Effects* out);
+  void OnClientDisconnected(double now, uint64_t client,
+                            Effects* out);  // its connection has ended, held or not
 
   // Connections to backends, by the numbers in Connect.
-  void OnConnected(double now, uint64_t connection, Effects* out);
-  void OnWritten(double now, uint64_t connection, Effects* out);  // the message's last byte is out
-  void OnAnswer(double now, uint64_t connection, micadock::Result result, double true_units, bool keep,
-                Effects* out);
-  void OnLost(double now, uint64_t connection, Effects* out);  // refused, reset, ended, spoilt
-  void OnStale(double now, uint64_t connection,
-               Effects* out);  // a kept one had ended before it was written to
+  void OnConnectionOpened(double now, uint64_t connection, Effects* out);
+  void OnRequestWritten(double now, uint64_t connection, Effects* out);  // the message's last byte is out
+  void OnResponse(double now, uint64_t connection, micadock::Result result, double true_units, bool keep,
+                  Effects* out);
+  void OnConnectionLost(double now, uint64_t connection, Effects* out);  // refused, reset, ended, spoilt
+  void OnConnectionStale(double now, uint64_t connection,
+                         Effects* out);  // a kept one had ended before it was written to
 
   // Bodies that are not whole at once. A request whose body has gone, in part, is sent no second time; its
   // time begins when the body is whole. A begun answer is the request's final one: it ends with OnAnswer or
   // OnLost.
-  void OnBodyGone(uint32_t request);
-  void OnBodyEnded(double now, uint32_t request, Effects* out);
-  void OnAnswerBegun(double now, uint64_t connection, Effects* out);
+  void OnBodyDiscarded(uint32_t request);
+  void OnBodyCompleted(double now, uint32_t request, Effects* out);
+  void OnResponseStarted(double now, uint64_t connection, Effects* out);
 
   // Works that outlive their gateway, and the fleet.
-  void OnIntent(double now, uint32_t request, int attempt, bool ok, Effects* out);
-  void OnWithdrawn(double now, uint64_t client, Effects* out);
-  void OnFleet(int gateways, bool counted) { balancer_->OnFleet(gateways, counted); }
+  void OnIntentResolved(double now, uint32_t request, int attempt, bool ok, Effects* out);
+  void OnRequestWithdrawn(double now, uint64_t client, Effects* out);
+  void OnFleetSizeChanged(int gateways, bool counted) { balancer_->OnFleet(gateways, counted); }
 
   // Discovery.
-  void OnList(double now, micadock::ListKind kind, const std::vector<Listed>& entries, Effects* out);
-  void OnListFailed(double now, Effects* out);
+  void OnBackendList(double now, micadock::ListKind kind, const std::vector<ListedBackend>& entries,
+                     Effects* out);
+  void OnDiscoveryFailed(double now, Effects* out);
 
   // The counter, by the numbers in Count.
-  void OnCountWritten(uint64_t call) { counts_.OnWritten(call); }
-  void OnCountAnswer(double now, uint64_t call, micadock::Result result, double total, Effects* out);
-  void OnCountLost(double now, uint64_t call, Effects* out);
+  void OnCounterCallWritten(uint64_t call) { counts_.OnWritten(call); }
+  void OnCounterResponse(double now, uint64_t call, micadock::Result result, double total, Effects* out);
+  void OnCounterCallLost(double now, uint64_t call, Effects* out);
 
   // Time. OnTime is to be called at NextDue or soon after; called early, it does nothing. NextDue changes
   // nothing that an event could notice: it only forgets what has become void.
   double NextDue(double now);
-  void OnTime(double now, Effects* out);
+  void OnTimerExpired(double now, Effects* out);
 
   // The planned end: Stop or StopIfQuiet follow.
   void BeginShutdown(double now, Effects* out);
-  bool ready() const { return open() && !shutdown_.begun(); }
+  bool ready() const { return accepting() && !shutdown_.begun(); }
 
   // Operators. A ban is a drain without grace, of a backend that need not be listed; the end of one is one
   // call, however often it was called out. A drain of the gateway: it is not ready, and empties itself.
-  void OnBan(double now, uint32_t backend, bool out_of_use, Effects* out);
-  void OnDrain(double now, bool on, Effects* out);
-  bool serving() const { return ready_; }               // can serve, whether or not it is to
-  bool open() const { return ready_ && !drain_.on(); }  // ready but for a planned end
+  void OnBanChanged(double now, uint32_t backend, bool out_of_use, Effects* out);
+  void OnDrainChanged(double now, bool on, Effects* out);
+  bool serving() const { return ready_; }                    // can serve, whether or not it is to
+  bool accepting() const { return ready_ && !drain_.on(); }  // ready but for a planned end
   bool draining() const { return drain_.on(); }
-  const Figures& figures() const { return figures_; }
+  const Stats& stats() const { return stats_; }
   // Listed backends that are not used now: banned, or set aside by the module.
-  size_t Avoided(double now) const;
+  size_t UnavailableBackends(double now) const;
   // An upgrade: what this gateway's module has learned of the backends, and what another process of it had.
-  micadock::Learned Remember(double now) const { return balancer_->Remember(now); }
-  void OnLearned(double now, const micadock::Learned& learned) { balancer_->Recall(now, learned); }
-
-  const BanBook& bans() const { return bans_; }
-  const RequestBook& requests() const { return requests_; }
-  const BackendBook& backends() const { return backends_; }
-  const CounterBook& counts() const { return counts_; }
+  micadock::Learned LearnedState(double now) const { return balancer_->Remember(now); }
+  void OnLearnedStateRestored(double now, const micadock::Learned& learned) {
+    balancer_->Recall(now, learned);
+  }
+
+  const BanTable& bans() const { return bans_; }
+  const RequestTable& requests() const { return requests_; }
+  const BackendTable& backends() const { return backends_; }
+  const CounterCallTable& counter_calls() const { return counts_; }
   size_t timers() const { return timers_.size(); }
 
  private:
@@ -117,13 +121,13 @@
 
   template <typename Call>
   void Tell(double now, Effects* out, Call call);
-  void TellList(double now, micadock::ListKind kind, const std::vector<Listed>& entries, Effects* out);
+  void TellList(double now, micadock::ListKind kind, const std::vector<ListedBackend>& entries, Effects* out);
   void Act(double now, micadock::Action& action, Effects* out);
   void Send(double now, const micadock::Action& action, Effects* out);
   // The attempt goes to its backend now; false where it can't.
   micadock::Result Place(double now, uint32_t request, int attempt, double patience_s, Effects* out);
   void Cancel(const micadock::Action& action, Effects* out);
-  void Ended(double now, const std::optional<ExchangeEnd>& end, double true_units, Effects* out);
+  void Ended(double now, const std::optional<ExchangeResult>& end, double true_units, Effects* out);
   void Outcome(double now, uint32_t request, int attempt, micadock::Result result, double true_units,
                uint64_t connection, Effects* out);
   void Counted(double now, const std::optional<micadock::CountAnswer>& answer, Effects* out);
@@ -134,11 +138,11 @@
   void Settle(double now, Effects* out);            // the end of every event
 
   const CoreSettings settings_;
-  RequestBook requests_;
-  BackendBook backends_;
-  BanBook bans_;
-  Figures figures_;
-  CounterBook counts_;
+  RequestTable requests_;
+  BackendTable backends_;
+  BanTable bans_;
+  Stats stats_;
+  CounterCallTable counts_;
   TimerQueue timers_;
   Shutdown shutdown_;
   Drain drain_;
--- a/src/core/request_book.cpp
+++ b/src/core/request_table.cpp
@@ -1,13 +1,13 @@
-#include "core/request_book.h"
+#include "core/request_table.h"
 
 #include <utility>
 
 namespace ivygw::core {
 
-uint32_t RequestBook::Take(uint64_t client, std::string id, int cls, double deadline, bool free) {
+uint32_t RequestTable::Take(uint64_t client, std::string id, int cls, double deadline, bool free) {
   do ++last_;
   while (last_ == 0 || held_.count(last_) != 0);
-  Held& held = held_[last_];
+  RequestState& held = held_[last_];
   held.client = client;
   held.id = std::move(id);
   held.cls = cls;
@@ -18,51 +18,51 @@
   return last_;
 }
 
-Held* RequestBook::Find(uint32_t request) {
+RequestState* RequestTable::Find(uint32_t request) {
   auto it = held_.find(request);
   return it == held_.end() ? nullptr : &it->second;
 }
 
-std::vector<uint32_t> RequestBook::Numbers() const {
+std::vector<uint32_t> RequestTable::Numbers() const {
   std::vector<uint32_t> numbers;
   for (const auto& [number, held] : held_) numbers.push_back(number);
   std::sort(numbers.begin(), numbers.end());
   return numbers;
 }
 
-uint32_t RequestBook::OfClient(uint64_t client) const {
+uint32_t RequestTable::OfClient(uint64_t client) const {
   auto it = by_client_.find(client);
   return it == by_client_.end() ? 0 : it->second;
 }
 
-bool RequestBook::Answer(uint32_t request) {
-  Held* held = Find(request);
+bool RequestTable::Answer(uint32_t request) {
+  RequestState* held = Find(request);
   if (held == nullptr || held->answered) return false;
   held->answered = true;
   by_client_.erase(held->client);
   return true;
 }
 
-bool RequestBook::Begin(uint32_t request, int attempt) {
+bool RequestTable::Begin(uint32_t request, int attempt) {
   if (!Answer(request)) return false;
-  Held* held = Find(request);
+  RequestState* held = Find(request);
   held->streaming = true;
   held->stream = attempt;
   streaming_[held->client] = request;
   return true;
 }
-void RequestBook::Ended(uint32_t request) {
-  Held* held = Find(request);
+void RequestTable::Ended(uint32_t request) {
+  RequestState* held = Find(request);
   if (held == nullptr || !held->streaming) return;
   held->streaming = false;
   streaming_.erase(held->client);
 }
-uint32_t RequestBook::StreamingTo(uint64_t client) const {
+uint32_t RequestTable::StreamingTo(uint64_t client) const {
   auto it = streaming_.find(client);
   return it == streaming_.end() ? 0 : it->second;
 }
 
-bool RequestBook::ForgetIfOver(uint32_t request) {
+bool RequestTable::ForgetIfOver(uint32_t request) {
   auto it = held_.find(request);
   if (it == held_.end() || !it->second.answered || it->second.Out()) return false;
   ids_.erase(it->second.id);
--- a/src/core/request_book.h
+++ b/src/core/request_table.h
@@ -1,7 +1,7 @@
 // The requests that are held: from accepted to the one final answer, and on until nothing of them is out.
 // Pure: no sockets, no clock. Decides nothing about backends.
-#ifndef IVYGW_CORE_REQUEST_BOOK_H_
-#define IVYGW_CORE_REQUEST_BOOK_H_
+#ifndef IVYGW_CORE_REQUEST_TABLE_H_
+#define IVYGW_CORE_REQUEST_TABLE_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -23,14 +23,14 @@
 struct Attempt {
   uint32_t backend = 0;
   uint64_t exchange = 0;  // the backend book's; 0 where it took none
-  double began = 0;
-  bool out = true;         // its outcome is not told yet
+  double started_at = 0;
+  bool in_flight = true;   // its outcome is not told yet
   bool cancelled = false;  // the module took it back
   bool intended = false;   // it waits to be made durable;
   double patience_s = 0;   // and then has so long, from when it was asked for
 };
 
-struct Held {
+struct RequestState {
   uint64_t client = 0;
   std::string id;  // the client's
   int cls = 0;
@@ -45,21 +45,21 @@
   bool streaming = false;  // its answer has begun, and is not whole;
   int stream = 0;          // this attempt brings it
   bool Out() const {
-    return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.out; });
+    return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.in_flight; });
   }
 };
 
-class RequestBook {
+class RequestTable {
  public:
   // Numbers differ from those of all that is held, also where they wrap round. `last`: after which they
   // begin.
-  explicit RequestBook(uint32_t last = 0) : last_(last) {}
+  explicit RequestTable(uint32_t last = 0) : last_(last) {}
 
   // Another request of this id is open, or an attempt of it is still out: two of one id would be mixed up.
   bool IsOpen(const std::string& id) const { return ids_.count(id) != 0; }
   uint32_t Take(uint64_t client, std::string id, int cls, double deadline, bool free);
-  Held* Find(uint32_t request);
-  const Held* Find(uint32_t request) const { return const_cast<RequestBook*>(this)->Find(request); }
+  RequestState* Find(uint32_t request);
+  const RequestState* Find(uint32_t request) const { return const_cast<RequestTable*>(this)->Find(request); }
   std::vector<uint32_t> Numbers() const;  // of all that is held, in order
   // The request of a client that is not answered; 0 for none.
   uint32_t OfClient(uint64_t client) const;
@@ -71,19 +71,19 @@
   void Ended(uint32_t request);                 // a begun answer, in whatever way
   uint32_t StreamingTo(uint64_t client) const;  // the request whose begun answer goes there; 0 for none
   // What the guard answers: 503 where nothing can have run, 504 where it may have.
-  static int GuardStatus(const Held& held) {
+  static int GuardStatus(const RequestState& held) {
     return held.free || (!held.may_have_run && !held.Out()) ? 503 : 504;
   }
   // Drops it if it is answered and nothing of it is out.
   bool ForgetIfOver(uint32_t request);
 
-  size_t held() const { return held_.size(); }
+  size_t size() const { return held_.size(); }
   size_t unanswered() const { return by_client_.size(); }
   size_t streaming() const { return streaming_.size(); }
-  size_t ids() const { return ids_.size(); }
+  size_t id_count() const { return ids_.size(); }
 
  private:
-  std::unordered_map<uint32_t, Held> held_;
+  std::unordered_map<uint32_t, RequestState> held_;
   std::unordered_map<uint64_t, uint32_t> by_client_;  // those not answered
   std::unordered_map<uint64_t, uint32_t> streaming_;  // by client, those whose answer has begun
   std::unordered_set<std::string> ids_;               // the clients' ids of what is held
@@ -92,4 +92,4 @@
 
 }  // namespace ivygw::core
 
-#endif  // IVYGW_CORE_REQUEST_BOOK_H_
+#endif  // IVYGW_CORE_REQUEST_TABLE_H_
--- a/src/core/shutdown.h
+++ b/src/core/shutdown.h
@@ -13,8 +13,8 @@
   // False if it has begun before. `longest_s`: the longest that a request may be held.
   bool Begin(double now, double longest_s) {
     if (begun()) return false;
-    closing_at_ = now + kStillComingS;
-    over_at_ = now + longest_s + kEndMarginS;
+    closing_at_ = now + kShutdownIdleCloseDelayS;
+    over_at_ = now + longest_s + kShutdownMarginS;
     return true;
   }
   bool begun() const { return closing_at_ != kNever; }
--- a/src/core/timer_queue.h
+++ b/src/core/timer_queue.h
@@ -13,21 +13,21 @@
 
 inline constexpr double kNever = std::numeric_limits<double>::infinity();
 
-enum class Due : uint8_t { kModule, kGuard, kConnect, kPatience, kCount };
+enum class TimerKind : uint8_t { kModule, kGuard, kConnect, kPatience, kCount };
 
 class TimerQueue {
  public:
   struct Timer {
     double at;
     uint64_t number;  // those of one time are due in the order in which they were added
-    Due due;
+    TimerKind due;
     uint64_t tag;
     bool operator>(const Timer& other) const {
       return at != other.at ? at > other.at : number > other.number;
     }
   };
 
-  void Add(double at, Due due, uint64_t tag) { waiting_.push({at, ++last_, due, tag}); }
+  void Add(double at, TimerKind due, uint64_t tag) { waiting_.push({at, ++last_, due, tag}); }
   // Takes away from the front what `is_void` says can bring nothing about any more, so that nobody wakes for
   // it.
   template <typename IsVoid>
--- a/src/gateway/core_settings.cpp
+++ b/src/gateway/core_settings.cpp
@@ -32,18 +32,18 @@
 core::CoreSettings CoreSettingsOf(const Config& config) {
   core::CoreSettings settings;
   settings.module = config.settings;
-  settings.connections.idle_s = config.site.conn_idle_s;
+  settings.connections.idle_timeout_s = config.site.conn_idle_s;
   settings.connections.connect_timeout_s = config.site.connect_timeout_s;
   settings.connections.drain_grace_s = config.site.drain_grace_s;
-  settings.connections.most =
+  settings.connections.max_connections =
       static_cast<size_t>(std::max(1.0, (config.sockets - kOwnSockets) * (1 - kClientShare)));
   settings.seed = config.seed;
   settings.has_counter = config.has_counter;
   return settings;
 }
 
-core::Arrival ArrivalOf(const ClientCall& call, uint64_t client) {
-  core::Arrival arrival;
+core::RequestArrived ArrivalOf(const ClientCall& call, uint64_t client) {
+  core::RequestArrived arrival;
   arrival.client = client;
   arrival.id = std::string(call.id);
   arrival.cls = call.request.cls;
--- a/src/gateway/core_settings.h
+++ b/src/gateway/core_settings.h
@@ -12,7 +12,7 @@
 size_t BodyBudget(const Config& config);   // bytes that bodies may take together
 size_t MostClients(const Config& config);  // connections of clients at once
 // `call` is sound; it came from `client`.
-core::Arrival ArrivalOf(const ClientCall& call, uint64_t client);
+core::RequestArrived ArrivalOf(const ClientCall& call, uint64_t client);
 
 }  // namespace ivygw
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -37,13 +37,13 @@
       discovery_(
           io, config.discovery, config.site, &ids_,
           [this](const BackendList& list) { OnList(list, list.full ? ListKind::kFull : ListKind::kDelta); },
-          [this] { driver_->Tell(core::ListFailed{}); }),
+          [this] { driver_->Dispatch(core::DiscoveryFailed{}); }),
       timer_(io),
       looking_(io),
       learning_(io),
       bad_(config.settings.classes.size()) {
   if (config.has_counter) {
-    counter_.emplace(io, config.counter, kCountPatience * config.settings.count_timeout_s,
+    counter_.emplace(io, config.counter, kCounterTimeoutFactor * config.settings.count_timeout_s,
                      config.site.connect_timeout_s, static_cast<CounterEvents*>(this), config.counter_access);
     counter_->Start();
   }
@@ -103,17 +103,17 @@
   timer_.async_wait([this](error_code cancelled) {
     if (cancelled) return;
     armed_.reset();
-    driver_->Tell(core::TimeCame{});
+    driver_->Dispatch(core::TimerExpired{});
   });
 }
 
-void Gateway::Do(core::Hold& effect) {
+void Gateway::Execute(core::RegisterRequest& effect) {
   Message& held = messages_[effect.request] = std::move(coming_[effect.client]);
   coming_.erase(effect.client);
   if (fleet_) fleet_->Held(effect.client, effect.request);
   if (held.more) bringing_[effect.client] = effect.request;
 }
-void Gateway::Do(core::Answer& effect) {
+void Gateway::Execute(core::SendResponse& effect) {
   Answer answer;
   answer.status = effect.status;
   answer.retry_after_s = effect.retry_after_s;
@@ -125,7 +125,7 @@
   Send(effect.client, std::move(answer));
 }
 // Parts follow as the client takes them.
-void Gateway::Do(core::BeginAnswer& effect) {
+void Gateway::Execute(core::StartResponse& effect) {
   BackendAnswer& begun = passing_.at(effect.connection);
   streams_[effect.connection] = {effect.client, begun.true_units};
   stream_to_[effect.client] = effect.connection;
@@ -137,8 +137,8 @@
   if (fleet_) fleet_->Answered(effect.client, 200, "", std::string(static_cast<size_t>(1) << 20, ' '));
   server_.ReplyBegin(effect.client, answer, begun.length);
 }
-void Gateway::Do(core::BreakAnswer& effect) { server_.Abort(effect.client); }
-void Gateway::Do(core::Forget& effect) {
+void Gateway::Execute(core::AbortResponse& effect) { server_.Abort(effect.client); }
+void Gateway::Execute(core::ReleaseRequest& effect) {
   auto it = messages_.find(effect.request);
   if (it == messages_.end()) return;
   if (auto b = bringing_.find(it->second.client); b != bringing_.end() && b->second == effect.request)
@@ -146,11 +146,13 @@
   sending_.erase(it->second.connection);
   messages_.erase(it);
 }
-void Gateway::Do(core::Connect& effect) { links_.Connect(effect.connection, addresses_[effect.address]); }
-void Gateway::Do(core::Write& effect) {
+void Gateway::Execute(core::OpenConnection& effect) {
+  links_.Connect(effect.connection, addresses_[effect.address]);
+}
+void Gateway::Execute(core::WriteRequest& effect) {
   Message& held = messages_.at(effect.request);
   // Of a body that is still coming the backend's time begins when it is whole, as the client's does.
-  double patience_s = held.more ? held.timeout_s : effect.patience_s;
+  double patience_s = held.more ? held.timeout_s : effect.timeout_s;
   std::string message;
   message.reserve(held.head.size() + held.body.size() + 64);
   message.append(held.head).append("Request-Timeout-Ms: ");
@@ -161,9 +163,9 @@
     held.connection = effect.connection;
     sending_[effect.connection] = effect.request;
   }
-  links_.Write(effect.connection, std::move(message), effect.kept, held.more);
+  links_.Write(effect.connection, std::move(message), effect.reused, held.more);
 }
-void Gateway::Do(core::Close& effect) {
+void Gateway::Execute(core::CloseConnection& effect) {
   if (auto it = sending_.find(effect.connection); it != sending_.end()) {
     if (auto m = messages_.find(it->second); m != messages_.end()) m->second.connection = 0;
     sending_.erase(it);
@@ -174,31 +176,31 @@
   }
   links_.Close(effect.connection);
 }
-void Gateway::Do(core::Count& effect) {
-  counter_->Call(effect.call, effect.name, effect.amount, effect.keep_s);
+void Gateway::Execute(core::CallCounter& effect) {
+  counter_->Call(effect.call, effect.name, effect.amount, effect.ttl_s);
 }
-void Gateway::Do(core::DropCount& effect) { counter_->Drop(effect.call); }
-void Gateway::Do(core::Log& effect) { std::fprintf(stderr, "%s\n", effect.text.c_str()); }
-void Gateway::Do(core::Subscribe&) { discovery_.Start(); }
-void Gateway::Do(core::AskClientsToClose&) { server_.AskToClose(true); }
-void Gateway::Do(core::KeepClients&) { server_.AskToClose(false); }
-void Gateway::Do(core::CloseIdleClients&) { server_.CloseIdle(); }
-void Gateway::Do(core::StopIfQuiet&) {
+void Gateway::Execute(core::CancelCounterCall& effect) { counter_->Drop(effect.call); }
+void Gateway::Execute(core::Log& effect) { std::fprintf(stderr, "%s\n", effect.text.c_str()); }
+void Gateway::Execute(core::SubscribeToDiscovery&) { discovery_.Start(); }
+void Gateway::Execute(core::DisableClientKeepAlive&) { server_.AskToClose(true); }
+void Gateway::Execute(core::EnableClientKeepAlive&) { server_.AskToClose(false); }
+void Gateway::Execute(core::CloseIdleClientConnections&) { server_.CloseIdle(); }
+void Gateway::Execute(core::StopIfIdle&) {
   if (server_.Quiet()) Stop();
 }
-void Gateway::Do(core::Stop&) { Stop(); }
+void Gateway::Execute(core::Stop&) { Stop(); }
 void Gateway::Stop() {
   if (!fleet_) return io_.stop();
   if (!std::exchange(left_, true)) fleet_->Left([this] { io_.stop(); });
 }
-void Gateway::Do(core::Intend& effect) {
+void Gateway::Execute(core::RecordIntent& effect) {
   Place place = places_.count(effect.backend) != 0 ? places_[effect.backend] : Place();
   if (fleet_ &&
       fleet_->Intend(effect.request, effect.attempt, ids_.NameOf(effect.backend), place.zone, place.cell))
     return;
-  driver_->Tell(core::IntentTold{effect.request, effect.attempt, true});
+  driver_->Dispatch(core::IntentResolved{effect.request, effect.attempt, true});
 }
-void Gateway::Do(core::AttemptOver& effect) {
+void Gateway::Execute(core::RecordAttemptEnd& effect) {
   if (fleet_) fleet_->AttemptOver(effect.request, effect.attempt, effect.may_have_run);
 }
 
@@ -207,7 +209,7 @@
   if (target.substr(0, 3) == "/-/") {
     Answer answer;
     // Where the platform holds the socket, who goes has been replaced: the gateway is as ready as it was.
-    bool ready = config_.listen_fd ? driver_->core().open() : driver_->core().ready();
+    bool ready = config_.listen_fd ? driver_->core().accepting() : driver_->core().ready();
     answer.status = target == "/-/ready" ? (ready ? 200 : 503) : 404;
     return server_.Reply(client, answer);
   }
@@ -227,7 +229,7 @@
     return boost::beast::iequals(field.name_string(), "Request-Timeout-Ms");
   });
   if (message.head.find(http::field::host) == message.head.end()) held.head += "Host: app.svc\r\n";
-  core::Arrival arrival = ArrivalOf(call, client);
+  core::RequestArrived arrival = ArrivalOf(call, client);
   held.more = message.more;
   if (held.more) {
     held.client = client;
@@ -250,7 +252,7 @@
   if (fleet_) fleet_->Asked(arrival.customer, arrival.plan, arrival.units);
   if (TakeWork(client, message, call, arrival, &held)) return;
   coming_[client] = std::move(held);
-  driver_->Tell(std::move(arrival));
+  driver_->Dispatch(std::move(arrival));
 }
 
 // A piece of a body on its way to a backend.
@@ -275,7 +277,7 @@
     held.gone = true;
     held.body = std::string();
     held.share.reset();
-    driver_->Tell(core::BodyGone{request});
+    driver_->Dispatch(core::BodyDiscarded{request});
   }
   server_.ReadBody(held.client);
 }
@@ -291,7 +293,7 @@
   if (last) {
     held.more = false;
     bringing_.erase(it);
-    driver_->Tell(core::BodyEnded{request});
+    driver_->Dispatch(core::BodyCompleted{request});
   }
   if (connection != 0) links_.WriteMore(connection, std::move(part), last);
 }
@@ -302,12 +304,12 @@
   notes_.erase(client);
   held_answers_.erase(client);
   if (fleet_ && fleet_->ClientGone(client)) return;  // its outcome is for who comes back
-  driver_->Tell(core::ClientGone{client});
+  driver_->Dispatch(core::ClientDisconnected{client});
 }
 
 void Gateway::OnAnswerBegun(uint64_t connection, BackendAnswer answer) {
   passing_[connection] = std::move(answer);
-  driver_->Tell(core::AnswerBegun{connection});
+  driver_->Dispatch(core::ResponseStarted{connection});
 }
 void Gateway::OnAnswerPart(uint64_t connection, std::string bytes) {
   auto it = streams_.find(connection);
@@ -319,7 +321,7 @@
   Stream stream = it->second;
   streams_.erase(it);
   stream_to_.erase(stream.client);
-  driver_->Tell(core::Answered{connection, Result::kOk, stream.true_units, keep});
+  driver_->Dispatch(core::ResponseReceived{connection, Result::kOk, stream.true_units, keep});
   server_.ReplyPart(stream.client, "", true);
 }
 void Gateway::OnClientDrained(uint64_t client) {
@@ -328,30 +330,30 @@
 }
 
 void Gateway::OnList(const BackendList& list, ListKind kind) {
-  std::vector<core::Listed> entries;
+  std::vector<core::ListedBackend> entries;
   for (const Listed& listed : list.entries) {
     if (config_.fleet) places_[listed.backend.id] = {listed.backend.zone, listed.backend.cell};
     auto [it, fresh] = address_numbers_.try_emplace(listed.address, addresses_.size());
     if (fresh) addresses_.push_back(listed.address);
     entries.push_back({listed.backend, it->second});
   }
-  driver_->Tell(core::ListTold{kind, std::move(entries)});
+  driver_->Dispatch(core::BackendListUpdated{kind, std::move(entries)});
 }
 
-void Gateway::OnConnected(uint64_t connection) { driver_->Tell(core::Connected{connection}); }
-void Gateway::OnWritten(uint64_t connection) { driver_->Tell(core::Written{connection}); }
+void Gateway::OnConnected(uint64_t connection) { driver_->Dispatch(core::ConnectionOpened{connection}); }
+void Gateway::OnWritten(uint64_t connection) { driver_->Dispatch(core::RequestWritten{connection}); }
 void Gateway::OnAnswer(uint64_t connection, BackendAnswer answer) {
-  core::Answered event{connection, answer.result, answer.true_units, answer.keep};
+  core::ResponseReceived event{connection, answer.result, answer.true_units, answer.keep};
   passing_[connection] = std::move(answer);
-  driver_->Tell(event);
+  driver_->Dispatch(event);
 }
-void Gateway::OnLost(uint64_t connection) { driver_->Tell(core::Lost{connection}); }
-void Gateway::OnStale(uint64_t connection) { driver_->Tell(core::Stale{connection}); }
-void Gateway::OnCountWritten(uint64_t call) { driver_->Tell(core::CountWritten{call}); }
+void Gateway::OnLost(uint64_t connection) { driver_->Dispatch(core::ConnectionLost{connection}); }
+void Gateway::OnStale(uint64_t connection) { driver_->Dispatch(core::ConnectionStale{connection}); }
+void Gateway::OnCountWritten(uint64_t call) { driver_->Dispatch(core::CounterCallWritten{call}); }
 void Gateway::OnCountAnswer(uint64_t call, Result result, double total) {
-  driver_->Tell(core::CountAnswered{call, result, total});
+  driver_->Dispatch(core::CounterResponseReceived{call, result, total});
 }
-void Gateway::OnCountLost(uint64_t call) { driver_->Tell(core::CountLost{call}); }
+void Gateway::OnCountLost(uint64_t call) { driver_->Dispatch(core::CounterCallLost{call}); }
 
 // An inherited socket is shared: nobody is taken from it before this process can serve.
 void Gateway::ServeIfReady() {
@@ -374,7 +376,7 @@
   closing_ = true;
   if (fleet_) fleet_->Leaving();
   if (config_.listen_fd) server_.StopAccepting();  // what waits there is for who takes over
-  driver_->Tell(core::ShutdownBegun{});
+  driver_->Dispatch(core::ShutdownRequested{});
 }
 
 }  // namespace ivygw
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -62,33 +62,33 @@
   double Now() const;
   void AfterTurn();
 
-  void Do(core::Hold& effect);
+  void Execute(core::RegisterRequest& effect);
   void Send(uint64_t client, Answer answer);
-  void Do(core::Answer& effect);
-  void Do(core::BeginAnswer& effect);
-  void Do(core::BreakAnswer& effect);
-  void Do(core::Forget& effect);
-  void Do(core::Connect& effect);
-  void Do(core::Write& effect);
-  void Do(core::Close& effect);
-  void Do(core::Count& effect);
-  void Do(core::DropCount& effect);
-  void Do(core::Log& effect);
-  void Do(core::Subscribe& effect);
-  void Do(core::AskClientsToClose& effect);
-  void Do(core::KeepClients& effect);
-  void Do(core::CloseIdleClients& effect);
-  void Do(core::StopIfQuiet& effect);
-  void Do(core::Stop& effect);
+  void Execute(core::SendResponse& effect);
+  void Execute(core::StartResponse& effect);
+  void Execute(core::AbortResponse& effect);
+  void Execute(core::ReleaseRequest& effect);
+  void Execute(core::OpenConnection& effect);
+  void Execute(core::WriteRequest& effect);
+  void Execute(core::CloseConnection& effect);
+  void Execute(core::CallCounter& effect);
+  void Execute(core::CancelCounterCall& effect);
+  void Execute(core::Log& effect);
+  void Execute(core::SubscribeToDiscovery& effect);
+  void Execute(core::DisableClientKeepAlive& effect);
+  void Execute(core::EnableClientKeepAlive& effect);
+  void Execute(core::CloseIdleClientConnections& effect);
+  void Execute(core::StopIfIdle& effect);
+  void Execute(core::Stop& effect);
   void Stop();
-  void Do(core::Intend& effect);
-  void Do(core::AttemptOver& effect);
+  void Execute(core::RecordIntent& effect);
+  void Execute(core::RecordAttemptEnd& effect);
 
   // Of works that outlive their gateway.
   void StartFleet(const MakeFleet& make);
   bool IsWork(const ClientMessage& message) const;
   bool TakeWork(uint64_t client, const ClientMessage& message, const ClientCall& call,
-                const core::Arrival& arrival, Message* held);
+                const core::RequestArrived& arrival, Message* held);
   void OnAdmitted(const FleetEvents::Admission& admission);
   void OnTold(uint64_t client, int status, double retry_after_s, const std::string& type,
               const std::string& body, const char* why);
@@ -164,7 +164,7 @@
   std::unordered_map<uint64_t, Stream> streams_;      // by connection
   std::unordered_map<uint64_t, uint64_t> stream_to_;  // connection by client
   struct Taken {  // a work that the fleet is asked about, before the core has it
-    core::Arrival arrival;
+    core::RequestArrived arrival;
     Message message;
     double timeout_s = 0;
   };
--- a/src/gateway/operators.cpp
+++ b/src/gateway/operators.cpp
@@ -45,13 +45,13 @@
   } else {
     bans_.erase(name);
   }
-  driver_->Tell(core::BanTold{ids_.Of(name), out});
+  driver_->Dispatch(core::BackendBanChanged{ids_.Of(name), out});
   return fault.empty() ? admin::Yes() : admin::No(fault);
 }
 
 std::string Gateway::OnDrain(bool on) {
   std::string fault = Keep([&](state::OperatorsWord* word) { word->drained = on; });
-  driver_->Tell(core::DrainTold{on});
+  driver_->Dispatch(core::DrainChanged{on});
   return fault.empty() ? admin::Yes() : admin::No(fault);
 }
 
@@ -61,7 +61,7 @@
     out += name + "=" + std::to_string(value) + "\n";
   };
   const core::GatewayCore& core = driver_->core();
-  const core::Figures& figures = core.figures();
+  const core::Stats& figures = core.stats();
   for (size_t i = 0; i < figures.classes.size(); ++i) {
     const std::string& name = config_.site.classes[i];
     line("success." + name, figures.classes[i].success);
@@ -71,7 +71,7 @@
   line("backend_calls", figures.backend_calls);
   line("inflight", server_.busy());
   line("hosts_listed", core.bans().listed());
-  line("hosts_down", core.Avoided(Now()));
+  line("hosts_down", core.UnavailableBackends(Now()));
   line("reloads", reloads_);
   line("reloads_failed", failed_reloads_);
   if (fleet_) out += fleet_->Figures();
@@ -97,12 +97,12 @@
 void Gateway::Follow(const state::OperatorsWord& word) {
   std::set<std::string> before = std::exchange(bans_, word.bans);
   for (const std::string& name : before) {
-    if (bans_.count(name) == 0) driver_->Tell(core::BanTold{ids_.Of(name), false});
+    if (bans_.count(name) == 0) driver_->Dispatch(core::BackendBanChanged{ids_.Of(name), false});
   }
   for (const std::string& name : bans_) {
-    if (before.count(name) == 0) driver_->Tell(core::BanTold{ids_.Of(name), true});
+    if (before.count(name) == 0) driver_->Dispatch(core::BackendBanChanged{ids_.Of(name), true});
   }
-  if (word.drained != driver_->core().draining()) driver_->Tell(core::DrainTold{word.drained});
+  if (word.drained != driver_->core().draining()) driver_->Dispatch(core::DrainChanged{word.drained});
 }
 
 void Gateway::Again(asio::steady_timer* timer, Clock::duration every, std::function<void()> task) {
@@ -125,7 +125,8 @@
 void Gateway::WriteLearned() {
   if (closing_) return;  // who took over knows better by now
   try {
-    learned_->Write(driver_->core().Remember(Now()), Now(), [this](uint32_t id) { return ids_.NameOf(id); });
+    learned_->Write(driver_->core().LearnedState(Now()), Now(),
+                    [this](uint32_t id) { return ids_.NameOf(id); });
   } catch (const state::StateError& error) {
     std::fprintf(stderr, "what was learned of the backends is not kept: %s\n", error.what());
   }
@@ -135,7 +136,7 @@
 void Gateway::RecallLearned() {
   try {
     auto learned = learned_->Read(Now(), [this](const std::string& name) { return ids_.Of(name); });
-    if (learned) driver_->Tell(core::LearnedTold{std::move(*learned)});
+    if (learned) driver_->Dispatch(core::LearnedStateRestored{std::move(*learned)});
   } catch (const state::StateError& error) {
     std::fprintf(stderr, "what was learned of the backends cannot be read, and is learned anew: %s\n",
                  error.what());
--- a/src/gateway/quota_bound.cpp
+++ b/src/gateway/quota_bound.cpp
@@ -35,7 +35,7 @@
   // last told need not add up while they fade (each passes an even one by 1 - 1/k of the rate at most); even
   // parts of what nobody used add up to kSpare times the rate. Until the failure shows (kApartRun calls that
   // nobody answers), others may be taken for idle.
-  double notice_s = micadock::kApartRun * kCountPatience * settings.count_timeout_s;
+  double notice_s = micadock::kApartRun * kCounterTimeoutFactor * settings.count_timeout_s;
   if (k > 1) {
     bound.silent.once = (k - 1) * (1 + micadock::kShareWindows) * burst + (k - 1) * rate * notice_s;
     bound.silent.a_second = (micadock::kSpare - 1) * rate;
--- a/src/gateway/works.cpp
+++ b/src/gateway/works.cpp
@@ -16,9 +16,9 @@
                        const std::string& body,
                        const char* why) { OnTold(client, status, retry_after_s, type, body, why); };
   events.intent = [this](uint32_t request, int attempt, bool ok) {
-    driver_->Tell(core::IntentTold{request, attempt, ok});
+    driver_->Dispatch(core::IntentResolved{request, attempt, ok});
   };
-  events.withdraw = [this](uint64_t client) { driver_->Tell(core::Withdrawn{client}); };
+  events.withdraw = [this](uint64_t client) { driver_->Dispatch(core::RequestWithdrawn{client}); };
   events.unrecorded = [this](uint64_t client) { notes_[client] = "without-record"; };
   events.release = [this](uint64_t client) {
     auto it = held_answers_.find(client);
@@ -27,9 +27,11 @@
     held_answers_.erase(it);
     server_.Reply(client, answer);
   };
-  events.fleet = [this](int gateways, bool counted) { driver_->Tell(core::FleetTold{gateways, counted}); };
+  events.fleet = [this](int gateways, bool counted) {
+    driver_->Dispatch(core::FleetSizeChanged{gateways, counted});
+  };
   events.share = [this](uint64_t customer, double share, double seconds) {
-    driver_->Tell(core::ShareTold{customer, share, seconds});
+    driver_->Dispatch(core::QuotaShareGranted{customer, share, seconds});
   };
   fleet_ = make(io_, config_, std::move(events));
 }
@@ -43,7 +45,7 @@
 
 // A request with a client's key is read up first: `held` is then the ledger's to hand back.
 bool Gateway::TakeWork(uint64_t client, const ClientMessage& message, const ClientCall& call,
-                       const core::Arrival& arrival, Message* held) {
+                       const core::RequestArrived& arrival, Message* held) {
   if (!IsWork(message)) return false;
   KeyedCall work;
   work.client = client;
@@ -51,7 +53,7 @@
   work.cls = call.request.cls;
   work.key = std::string(View(message.head[config_.fleet->ledger.key_header]));
   work.message = std::string(OriginForm(View(message.head.target()))) + "\n" + held->body;
-  work.timeout_s = call.timeout_s - AnswerMargin(call.timeout_s);
+  work.timeout_s = call.timeout_s - ResponseMargin(call.timeout_s);
   taken_[client] = {arrival, std::move(*held), call.timeout_s};
   fleet_->Take(work);
   return true;
@@ -62,14 +64,14 @@
   if (it == taken_.end()) return;
   Taken taken = std::move(it->second);
   taken_.erase(it);
-  core::Arrival& arrival = taken.arrival;
+  core::RequestArrived& arrival = taken.arrival;
   if (driver_->core().IsOpen(arrival.id)) {  // another came with its id meanwhile
     fleet_->Answered(admission.client, 400, "", "");
     Answer answer;
     answer.status = 400;
     return server_.Reply(admission.client, answer);
   }
-  arrival.timeout_s = admission.left_s + AnswerMargin(taken.timeout_s);
+  arrival.timeout_s = admission.left_s + ResponseMargin(taken.timeout_s);
   arrival.recorded = admission.recorded;
   arrival.resumed = admission.resumed;
   arrival.may_have_run = admission.may_have_run;
@@ -78,7 +80,7 @@
   arrival.ran_cell = admission.ran_cell;
   if (!admission.recorded) notes_[admission.client] = "without-record";
   coming_[admission.client] = std::move(taken.message);
-  driver_->Tell(std::move(arrival));
+  driver_->Dispatch(std::move(arrival));
 }
 
 void Gateway::OnTold(uint64_t client, int status, double retry_after_s, const std::string& type,
--- a/src/rehearsal/virtual_gateway.cpp
+++ b/src/rehearsal/virtual_gateway.cpp
@@ -76,14 +76,14 @@
   After(std::max(0.0, due - Now()) + kTickS, [this, turn] {
     if (turn != armed_turn_) return;
     armed_ = core::kNever;
-    driver_->Tell(core::TimeCame{});
+    driver_->Dispatch(core::TimerExpired{});
   });
 }
 
 void VirtualGateway::OnRequest(const emulator::ClientCall& call) {
   waiting_.insert(call.id);
   if (paused_) return waiting_tasks_.push_back([this, call] { OnRequest(call); });
-  core::Arrival arrival;
+  core::RequestArrived arrival;
   arrival.client = call.id;
   arrival.id = std::to_string(call.id);
   arrival.cls = call.cls;
@@ -100,11 +100,11 @@
     work.customer = call.customer;
     work.cls = call.cls;
     work.key = std::to_string(call.retry_of != 0 ? call.retry_of : call.id);
-    work.timeout_s = arrival.timeout_s - AnswerMargin(arrival.timeout_s);
+    work.timeout_s = arrival.timeout_s - ResponseMargin(arrival.timeout_s);
     taken_[call.id] = std::move(arrival);
     return desk_->Take(work);
   }
-  driver_->Tell(std::move(arrival));
+  driver_->Dispatch(std::move(arrival));
 }
 
 void VirtualGateway::OnClientGone(uint64_t call) {
@@ -113,7 +113,7 @@
   taken_.erase(call);
   held_answers_.erase(call);
   if (desk_ && desk_->ClientGone(call)) return;
-  driver_->Tell(core::ClientGone{call});
+  driver_->Dispatch(core::ClientDisconnected{call});
 }
 
 void VirtualGateway::StartDesk(emulator::EngineModel* engine, uint64_t life) {
@@ -121,16 +121,16 @@
   events.admit = [this](const FleetEvents::Admission& a) {
     auto it = taken_.find(a.client);
     if (it == taken_.end()) return;
-    core::Arrival arrival = std::move(it->second);
+    core::RequestArrived arrival = std::move(it->second);
     taken_.erase(it);
-    arrival.timeout_s = a.left_s + AnswerMargin(arrival.timeout_s);
+    arrival.timeout_s = a.left_s + ResponseMargin(arrival.timeout_s);
     arrival.recorded = a.recorded;
     arrival.resumed = a.resumed;
     arrival.may_have_run = a.may_have_run;
     arrival.ran_age_s = a.ran_age_s;
     arrival.ran_zone = a.ran_zone;
     arrival.ran_cell = a.ran_cell;
-    driver_->Tell(std::move(arrival));
+    driver_->Dispatch(std::move(arrival));
   };
   events.tell = [this](uint64_t client, int status, double retry_after_s, const std::string&,
                        const std::string& body, const char*) {
@@ -139,9 +139,9 @@
     Send(client, {status, retry_after_s, body.empty() ? 0 : std::strtoull(body.c_str(), nullptr, 10)});
   };
   events.intent = [this](uint32_t request, int attempt, bool ok) {
-    driver_->Tell(core::IntentTold{request, attempt, ok});
+    driver_->Dispatch(core::IntentResolved{request, attempt, ok});
   };
-  events.withdraw = [this](uint64_t client) { driver_->Tell(core::Withdrawn{client}); };
+  events.withdraw = [this](uint64_t client) { driver_->Dispatch(core::RequestWithdrawn{client}); };
   events.unrecorded = [](uint64_t) {};
   events.release = [this](uint64_t client) {
     auto it = held_answers_.find(client);
@@ -150,9 +150,11 @@
     held_answers_.erase(it);
     Send(client, answer);
   };
-  events.fleet = [this](int gateways, bool counted) { driver_->Tell(core::FleetTold{gateways, counted}); };
+  events.fleet = [this](int gateways, bool counted) {
+    driver_->Dispatch(core::FleetSizeChanged{gateways, counted});
+  };
   events.share = [this](uint64_t customer, double share, double seconds) {
-    driver_->Tell(core::ShareTold{customer, share, seconds});
+    driver_->Dispatch(core::QuotaShareGranted{customer, share, seconds});
   };
   fleet::DeskPorts ports;
   auto random = std::make_shared<emulator::Random>(emulator::Random(config_.seed).Fork("desk", life));
@@ -182,10 +184,10 @@
   });
 }
 
-void VirtualGateway::Do(const core::Intend& effect) {
+void VirtualGateway::Execute(const core::RecordIntent& effect) {
   auto [zone, cell] = places_[effect.backend];
   if (desk_ && desk_->Intend(effect.request, effect.attempt, ids_.NameOf(effect.backend), zone, cell)) return;
-  driver_->Tell(core::IntentTold{effect.request, effect.attempt, true});
+  driver_->Dispatch(core::IntentResolved{effect.request, effect.attempt, true});
 }
 
 void VirtualGateway::Send(uint64_t client, const Outgoing& answer) {
@@ -195,7 +197,7 @@
   });
 }
 
-void VirtualGateway::Do(const core::Answer& effect) {
+void VirtualGateway::Execute(const core::SendResponse& effect) {
   uint64_t token = effect.connection != 0 ? tokens_.at(effect.connection) : 0;
   Outgoing answer{effect.status, effect.retry_after_s, token};
   if (desk_ && !desk_->Answered(effect.client, answer.status, "", token != 0 ? std::to_string(token) : "")) {
@@ -205,7 +207,7 @@
   Send(effect.client, answer);
 }
 
-void VirtualGateway::Do(const core::Connect& effect) {
+void VirtualGateway::Execute(const core::OpenConnection& effect) {
   auto link = std::make_shared<Link>();
   link->address = static_cast<int>(effect.address);
   links_[effect.connection] = link;
@@ -216,22 +218,22 @@
     After(network_.node_s, [this, link, connection] {
       if (link->closed) return;
       if (!link->connected || link->reset) return Lost(connection, link);
-      driver_->Tell(core::Connected{connection});
+      driver_->Dispatch(core::ConnectionOpened{connection});
     });
   });
 }
 
 // From here on it may have run. It comes to the node even if the gateway gives it up meanwhile.
-void VirtualGateway::Do(const core::Write& effect) {
+void VirtualGateway::Execute(const core::WriteRequest& effect) {
   auto link = links_.at(effect.connection);
   uint64_t connection = effect.connection, call = calls_.at(effect.request);
-  if (effect.kept && link->reset) {
-    return driver_->Tell(core::Stale{connection});
+  if (effect.reused && link->reset) {
+    return driver_->Dispatch(core::ConnectionStale{connection});
   }
   link->at_node = 0;
-  driver_->Tell(core::Written{connection});
+  driver_->Dispatch(core::RequestWritten{connection});
   auto alive = alive_;
-  scheduler_->After(network_.node_s, [this, alive, link, connection, call, patience = effect.patience_s,
+  scheduler_->After(network_.node_s, [this, alive, link, connection, call, patience = effect.timeout_s,
                                       world = world_, gateway = number_] {
     AddressState state = world->address_state(link->address);
     if (state != AddressState::kUp || world->NodeAt(link->address) != link->node) {
@@ -263,15 +265,15 @@
   const emulator::ClientCall* asked = clients_->Find(call);
   double units = result == Result::kOk && asked != nullptr ? asked->true_units : 0;
   tokens_[connection] = token;
-  driver_->Tell(core::Answered{connection, result, units, true});
+  driver_->Dispatch(core::ResponseReceived{connection, result, units, true});
 }
 
 void VirtualGateway::Lost(uint64_t connection, const std::shared_ptr<Link>& link) {
   if (link->closed) return;
-  driver_->Tell(core::Lost{connection});
+  driver_->Dispatch(core::ConnectionLost{connection});
 }
 
-void VirtualGateway::Do(const core::Close& effect) {
+void VirtualGateway::Execute(const core::CloseConnection& effect) {
   auto it = links_.find(effect.connection);
   CloseLink(it->second);
   links_.erase(it);
@@ -286,23 +288,23 @@
   });
 }
 
-void VirtualGateway::Do(const core::Count& effect) {
+void VirtualGateway::Execute(const core::CallCounter& effect) {
   auto alive = alive_;
   scheduler_->After(network_.counter_s, [this, alive, effect, world = world_, gateway = number_] {
     char name[20];
     std::snprintf(name, sizeof(name), "%016llx", static_cast<unsigned long long>(effect.name));
-    CounterReply reply = world->Count(gateway, name, effect.amount, effect.keep_s);
+    CounterReply reply = world->Count(gateway, name, effect.amount, effect.ttl_s);
     if (!*alive) return;
     uint64_t call = effect.call;
     if (reply.result == CounterResult::kRefused) {
-      return After(network_.counter_s, [this, call] { driver_->Tell(core::CountLost{call}); });
+      return After(network_.counter_s, [this, call] { driver_->Dispatch(core::CounterCallLost{call}); });
     }
-    driver_->Tell(core::CountWritten{call});
+    driver_->Dispatch(core::CounterCallWritten{call});
     if (reply.result == CounterResult::kSilent) return;
     Result result = reply.result == CounterResult::kTotal ? Result::kOk : Result::kFull;
     After(std::max(0.0, reply.at - scheduler_->Now()) + network_.counter_s,
           [this, call, result, total = reply.total] {
-            driver_->Tell(core::CountAnswered{call, result, total});
+            driver_->Dispatch(core::CounterResponseReceived{call, result, total});
           });
   });
 }
@@ -314,13 +316,13 @@
   BackendList parsed = ParseList(list, config_.site, &ids_);
   for (const auto& listed : parsed.entries)
     places_[listed.backend.id] = {listed.backend.zone, listed.backend.cell};
-  std::vector<core::Listed> entries;
+  std::vector<core::ListedBackend> entries;
   for (size_t i = 0; i < parsed.entries.size(); ++i) {
     entries.push_back(
         {parsed.entries[i].backend, static_cast<uint64_t>(world_->AddressOf(news.entries[i].node))});
   }
   ListKind kind = news.snapshot ? ListKind::kFull : ListKind::kDelta;
-  driver_->Tell(core::ListTold{kind, std::move(entries)});
+  driver_->Dispatch(core::BackendListUpdated{kind, std::move(entries)});
 }
 
 void VirtualGateway::Watch() {
@@ -329,7 +331,7 @@
   if (discovery.silent()) {
     return After(kWatchFailsS, [this, mine] {
       if (mine != watch_) return;
-      driver_->Tell(core::ListFailed{});
+      driver_->Dispatch(core::DiscoveryFailed{});
       Watch();
     });
   }
--- a/src/rehearsal/virtual_gateway.h
+++ b/src/rehearsal/virtual_gateway.h
@@ -55,22 +55,22 @@
   void AfterTurn();
   void After(double wait, std::function<void()> task);  // unless the gateway has gone by then
 
-  void Do(const core::Hold& effect) {
+  void Execute(const core::RegisterRequest& effect) {
     calls_[effect.request] = effect.client;
     if (desk_) desk_->Held(effect.client, effect.request);
   }
-  void Do(const core::Intend& effect);
-  void Do(const core::AttemptOver& effect) {
+  void Execute(const core::RecordIntent& effect);
+  void Execute(const core::RecordAttemptEnd& effect) {
     if (desk_) desk_->AttemptOver(effect.request, effect.attempt, effect.may_have_run);
   }
-  void Do(const core::Answer& effect);
-  void Do(const core::Forget& effect) { calls_.erase(effect.request); }
-  void Do(const core::Connect& effect);
-  void Do(const core::Write& effect);
-  void Do(const core::Close& effect);
-  void Do(const core::Count& effect);
+  void Execute(const core::SendResponse& effect);
+  void Execute(const core::ReleaseRequest& effect) { calls_.erase(effect.request); }
+  void Execute(const core::OpenConnection& effect);
+  void Execute(const core::WriteRequest& effect);
+  void Execute(const core::CloseConnection& effect);
+  void Execute(const core::CallCounter& effect);
   template <typename Other>
-  void Do(const Other&) {}  // logs and the end of the program are not played
+  void Execute(const Other&) {}  // logs and the end of the program are not played
 
   // Of works that outlive their gateway.
   struct Outgoing {
@@ -102,9 +102,9 @@
   std::set<uint64_t> waiting_;          // calls whose connections to clients are open
   uint64_t index_ = 0, watch_ = 0, armed_turn_ = 0;
   double armed_ = core::kNever;
-  std::map<uint64_t, uint64_t> tokens_;        // of answers told of in this turn, by connection
-  std::map<uint64_t, core::Arrival> taken_;    // by call, while the ledger is asked
-  std::map<uint64_t, Outgoing> held_answers_;  // by call, until they are recorded
+  std::map<uint64_t, uint64_t> tokens_;             // of answers told of in this turn, by connection
+  std::map<uint64_t, core::RequestArrived> taken_;  // by call, while the ledger is asked
+  std::map<uint64_t, Outgoing> held_answers_;       // by call, until they are recorded
   std::map<uint32_t, std::pair<int, int>> places_;
   bool paused_ = false;
   std::vector<std::function<void()>> waiting_tasks_;
--- a/src/trace/codec.cpp
+++ b/src/trace/codec.cpp
@@ -20,62 +20,66 @@
 
 // The fields of each, in the order in which they are written. A field added here is a new version of the
 // form.
-auto Tie(core::Arrival& e) {
+auto Tie(core::RequestArrived& e) {
   return std::tie(e.client, e.id, e.cls, e.plan, e.customer, e.units, e.entries, e.timeout_s, e.body_s,
                   e.recorded, e.resumed, e.may_have_run, e.ran_age_s, e.ran_zone, e.ran_cell);
 }
-auto Tie(core::ClientGone& e) { return std::tie(e.client); }
-auto Tie(core::Connected& e) { return std::tie(e.connection); }
-auto Tie(core::Written& e) { return std::tie(e.connection); }
-auto Tie(core::Answered& e) { return std::tie(e.connection, e.result, e.true_units, e.keep); }
-auto Tie(core::Lost& e) { return std::tie(e.connection); }
-auto Tie(core::Stale& e) { return std::tie(e.connection); }
-auto Tie(core::ListTold& e) { return std::tie(e.kind, e.entries); }
-auto Tie(core::ListFailed&) { return std::tuple<>(); }
-auto Tie(core::CountWritten& e) { return std::tie(e.call); }
-auto Tie(core::CountAnswered& e) { return std::tie(e.call, e.result, e.total); }
-auto Tie(core::CountLost& e) { return std::tie(e.call); }
-auto Tie(core::TimeCame&) { return std::tuple<>(); }
-auto Tie(core::ShutdownBegun&) { return std::tuple<>(); }
-auto Tie(core::BanTold& e) { return std::tie(e.backend, e.out); }
-auto Tie(core::DrainTold& e) { return std::tie(e.on); }
-auto Tie(core::BodyGone& e) { return std::tie(e.request); }
-auto Tie(core::BodyEnded& e) { return std::tie(e.request); }
-auto Tie(core::AnswerBegun& e) { return std::tie(e.connection); }
-auto Tie(core::IntentTold& e) { return std::tie(e.request, e.attempt, e.ok); }
-auto Tie(core::Withdrawn& e) { return std::tie(e.client); }
-auto Tie(core::FleetTold& e) { return std::tie(e.gateways, e.counted); }
-auto Tie(core::ShareTold& e) { return std::tie(e.customer, e.share, e.seconds); }
-auto Tie(core::LearnedTold& e) {
+auto Tie(core::ClientDisconnected& e) { return std::tie(e.client); }
+auto Tie(core::ConnectionOpened& e) { return std::tie(e.connection); }
+auto Tie(core::RequestWritten& e) { return std::tie(e.connection); }
+auto Tie(core::ResponseReceived& e) { return std::tie(e.connection, e.result, e.true_units, e.reusable); }
+auto Tie(core::ConnectionLost& e) { return std::tie(e.connection); }
+auto Tie(core::ConnectionStale& e) { return std::tie(e.connection); }
+auto Tie(core::BackendListUpdated& e) { return std::tie(e.kind, e.entries); }
+auto Tie(core::DiscoveryFailed&) { return std::tuple<>(); }
+auto Tie(core::CounterCallWritten& e) { return std::tie(e.call); }
+auto Tie(core::CounterResponseReceived& e) { return std::tie(e.call, e.result, e.total); }
+auto Tie(core::CounterCallLost& e) { return std::tie(e.call); }
+auto Tie(core::TimerExpired&) { return std::tuple<>(); }
+auto Tie(core::ShutdownRequested&) { return std::tuple<>(); }
+auto Tie(core::BackendBanChanged& e) { return std::tie(e.backend, e.banned); }
+auto Tie(core::DrainChanged& e) { return std::tie(e.on); }
+auto Tie(core::BodyDiscarded& e) { return std::tie(e.request); }
+auto Tie(core::BodyCompleted& e) { return std::tie(e.request); }
+auto Tie(core::ResponseStarted& e) { return std::tie(e.connection); }
+auto Tie(core::IntentResolved& e) { return std::tie(e.request, e.attempt, e.ok); }
+auto Tie(core::RequestWithdrawn& e) { return std::tie(e.client); }
+auto Tie(core::FleetSizeChanged& e) { return std::tie(e.gateways, e.counted); }
+auto Tie(core::QuotaShareGranted& e) { return std::tie(e.customer, e.share, e.seconds); }
+auto Tie(core::LearnedStateRestored& e) {
   micadock::Learned& l = e.learned;
   return std::tie(l.backends, l.work, l.units, l.let_in, l.warm_work);
 }
 auto Tie(micadock::Learned::OfBackend& b) {
   return std::tie(b.id, b.speed, b.pace, b.limit, b.fails, b.cold_since);
 }
-auto Tie(core::Listed& e) {
+auto Tie(core::ListedBackend& e) {
   micadock::Backend& b = e.backend;
   return std::tie(b.id, b.state, b.kind, b.zone, b.cell, b.weight, b.started_s, e.address);
 }
-auto Tie(core::Hold& e) { return std::tie(e.request, e.client); }
-auto Tie(core::Answer& e) { return std::tie(e.client, e.request, e.status, e.retry_after_s, e.connection); }
-auto Tie(core::Forget& e) { return std::tie(e.request); }
-auto Tie(core::Connect& e) { return std::tie(e.connection, e.address); }
-auto Tie(core::Write& e) { return std::tie(e.connection, e.request, e.attempt, e.patience_s, e.kept); }
-auto Tie(core::Close& e) { return std::tie(e.connection); }
-auto Tie(core::Count& e) { return std::tie(e.call, e.name, e.amount, e.keep_s); }
-auto Tie(core::DropCount& e) { return std::tie(e.call); }
+auto Tie(core::RegisterRequest& e) { return std::tie(e.request, e.client); }
+auto Tie(core::SendResponse& e) {
+  return std::tie(e.client, e.request, e.status, e.retry_after_s, e.connection);
+}
+auto Tie(core::ReleaseRequest& e) { return std::tie(e.request); }
+auto Tie(core::OpenConnection& e) { return std::tie(e.connection, e.address); }
+auto Tie(core::WriteRequest& e) {
+  return std::tie(e.connection, e.request, e.attempt, e.timeout_s, e.reused);
+}
+auto Tie(core::CloseConnection& e) { return std::tie(e.connection); }
+auto Tie(core::CallCounter& e) { return std::tie(e.call, e.name, e.amount, e.ttl_s); }
+auto Tie(core::CancelCounterCall& e) { return std::tie(e.call); }
 auto Tie(core::Log& e) { return std::tie(e.text); }
-auto Tie(core::Subscribe&) { return std::tuple<>(); }
-auto Tie(core::AskClientsToClose&) { return std::tuple<>(); }
-auto Tie(core::CloseIdleClients&) { return std::tuple<>(); }
-auto Tie(core::StopIfQuiet&) { return std::tuple<>(); }
+auto Tie(core::SubscribeToDiscovery&) { return std::tuple<>(); }
+auto Tie(core::DisableClientKeepAlive&) { return std::tuple<>(); }
+auto Tie(core::CloseIdleClientConnections&) { return std::tuple<>(); }
+auto Tie(core::StopIfIdle&) { return std::tuple<>(); }
 auto Tie(core::Stop&) { return std::tuple<>(); }
-auto Tie(core::KeepClients&) { return std::tuple<>(); }
-auto Tie(core::BeginAnswer& e) { return std::tie(e.client, e.request, e.connection); }
-auto Tie(core::BreakAnswer& e) { return std::tie(e.client, e.request); }
-auto Tie(core::Intend& e) { return std::tie(e.request, e.attempt, e.backend); }
-auto Tie(core::AttemptOver& e) { return std::tie(e.request, e.attempt, e.may_have_run); }
+auto Tie(core::EnableClientKeepAlive&) { return std::tuple<>(); }
+auto Tie(core::StartResponse& e) { return std::tie(e.client, e.request, e.connection); }
+auto Tie(core::AbortResponse& e) { return std::tie(e.client, e.request); }
+auto Tie(core::RecordIntent& e) { return std::tie(e.request, e.attempt, e.backend); }
+auto Tie(core::RecordAttemptEnd& e) { return std::tie(e.request, e.attempt, e.may_have_run); }
 
 constexpr const char* kEventNames[] = {
     "arrival",      "client_gone", "connected",   "written",       "answered",       "lost",
@@ -106,7 +110,7 @@
 
 // Lists whose parts have fields of their own.
 template <typename Field>
-constexpr bool kListOfStructs = std::is_same_v<Field, std::vector<core::Listed>> ||
+constexpr bool kListOfStructs = std::is_same_v<Field, std::vector<core::ListedBackend>> ||
                                 std::is_same_v<Field, std::vector<micadock::Learned::OfBackend>>;
 
 // What msgpack's packer writes to.
@@ -201,8 +205,8 @@
 void Print(std::ostream& out, const Field& field) {
   if constexpr (std::is_enum_v<Field>) {
     out << ' ' << static_cast<int>(field);
-  } else if constexpr (std::is_same_v<Field, std::vector<core::Listed>>) {
-    for (const core::Listed& l : field) {
+  } else if constexpr (std::is_same_v<Field, std::vector<core::ListedBackend>>) {
+    for (const core::ListedBackend& l : field) {
       bool ready = l.backend.state == micadock::BackendState::kReady,
            gone = l.backend.state == micadock::BackendState::kGone;
       out << ' ' << l.backend.id << (ready ? "+" : gone ? "-" : "~");
@@ -251,7 +255,7 @@
 
 core::Event Masked(const core::Event& event, const Mask& mask) {
   core::Event out = event;
-  if (auto* arrival = std::get_if<core::Arrival>(&out)) {
+  if (auto* arrival = std::get_if<core::RequestArrived>(&out)) {
     arrival->customer = mask.Customer(arrival->customer);
     arrival->id = mask.Id(arrival->id);
   }
@@ -265,7 +269,7 @@
   packer.pack_array(static_cast<uint32_t>(effects.size()));
   for (const core::Effect& effect : effects) {
     core::Effect plain = effect;
-    if (auto* count = std::get_if<core::Count>(&plain)) count->name = names->Of(count->name);
+    if (auto* count = std::get_if<core::CallCounter>(&plain)) count->name = names->Of(count->name);
     PutVariant(&packer, std::move(plain));
   }
   return bytes;
--- a/src/trace/recorder.h
+++ b/src/trace/recorder.h
@@ -19,7 +19,7 @@
   // `event` null: the core's start. Handed on when there is enough, or when the last was a while ago.
   void Take(double now, const core::Event* event, const core::Effects& effects) {
     std::string told = EncodeEffects(effects, &names_);
-    if (event != nullptr && std::holds_alternative<core::Arrival>(*event)) {
+    if (event != nullptr && std::holds_alternative<core::RequestArrived>(*event)) {
       core::Event masked = Masked(*event, mask_);
       EncodeTurn(now, &masked, told, &chunk_);
     } else {
--- a/src/trace/replay.cpp
+++ b/src/trace/replay.cpp
@@ -16,7 +16,7 @@
     } else {
       if (!core_)
         throw TraceError("the trace does not begin at the gateway's start: what was before has been dropped");
-      core_->On(turn.now, turn.event, &effects);
+      core_->Handle(turn.now, turn.event, &effects);
     }
     std::string got = EncodeEffects(effects, &names_);
     bool go_on = !each || each(turns_, at_s(), turn, effects);
@@ -47,7 +47,7 @@
 }
 
 std::string Replay::Describe(uint32_t request) const {
-  const core::Held* held = core_ ? core_->requests().Find(request) : nullptr;
+  const core::RequestState* held = core_ ? core_->requests().Find(request) : nullptr;
   if (held == nullptr) return "request " + std::to_string(request) + " is not held";
   char line[200];
   std::snprintf(line, sizeof(line), "request %u of client %llu: %s, %.3f s left%s", request,
@@ -56,13 +56,13 @@
   std::string out = line;
   for (size_t i = 0; i < held->attempts.size(); ++i) {
     const core::Attempt& a = held->attempts[i];
-    core::BackendBook::View b = core_->backends().Look(a.backend);
+    core::BackendTable::Status b = core_->backends().GetStatus(a.backend);
     std::snprintf(line, sizeof(line),
                   "; attempt %zu at backend %u (%s, %zu connections kept) %s, begun %.3f s ago", i, a.backend,
                   !b.known     ? "gone"
                   : b.draining ? "draining"
                                : "ready",
-                  b.kept, a.out ? "is out" : "has ended", now_ - a.began);
+                  b.idle_connections, a.in_flight ? "is out" : "has ended", now_ - a.started_at);
     out += line;
   }
   return out;
@@ -70,10 +70,10 @@
 
 std::string Replay::DescribeAll() const {
   if (!core_) return "nothing was played\n";
-  std::string out = std::to_string(core_->requests().held()) + " requests held, " +
+  std::string out = std::to_string(core_->requests().size()) + " requests held, " +
                     std::to_string(core_->backends().connections()) + " connections (" +
                     std::to_string(core_->backends().idle()) + " idle), " +
-                    std::to_string(core_->counts().out()) + " counter calls out\n";
+                    std::to_string(core_->counter_calls().in_flight()) + " counter calls out\n";
   for (uint32_t request : core_->requests().Numbers()) out += Describe(request) + "\n";
   return out;
 }
--- a/tests/core/ban_book_test.cpp
+++ b/tests/core/ban_table_test.cpp
@@ -1,5 +1,5 @@
 // Bans over discovery's list, case by case and in any order against a plain model of what may be in use.
-#include "core/ban_book.h"
+#include "core/ban_table.h"
 
 #include <gtest/gtest.h>
 
@@ -13,9 +13,9 @@
 
 using micadock::BackendState;
 
-Listed Entry(uint32_t id, BackendState state = BackendState::kReady, double started_s = 0,
-             uint64_t address = 1) {
-  Listed listed;
+ListedBackend Entry(uint32_t id, BackendState state = BackendState::kReady, double started_s = 0,
+                    uint64_t address = 1) {
+  ListedBackend listed;
   listed.backend.id = id;
   listed.backend.state = state;
   listed.backend.started_s = started_s;
@@ -23,8 +23,8 @@
   return listed;
 }
 
-TEST(BanBook, ABanIsADrainWhateverDiscoverySays) {
-  BanBook book;
+TEST(BanTable, ABanIsADrainWhateverDiscoverySays) {
+  BanTable book;
   book.Told(true, {Entry(1), Entry(2)});
   auto told = book.Ban(1, 10);
   ASSERT_TRUE(told);
@@ -45,8 +45,8 @@
   EXPECT_EQ(book.Told(false, {Entry(1)})[0].backend.state, BackendState::kReady);
 }
 
-TEST(BanBook, BackFromABanItCountsAsStartedThenUnlessItsStartIsKnown) {
-  BanBook book;
+TEST(BanTable, BackFromABanItCountsAsStartedThenUnlessItsStartIsKnown) {
+  BanTable book;
   book.Told(true, {Entry(1, BackendState::kReady, 3), Entry(2, BackendState::kReady, 3)});
   book.Ban(1, 10);
   book.Ban(2, 10);
@@ -55,8 +55,8 @@
   EXPECT_EQ(book.Lift(2, 20)->backend.started_s, 15);
 }
 
-TEST(BanBook, NothingIsToldOfWhatDrainsOrIsNotListed) {
-  BanBook book;
+TEST(BanTable, NothingIsToldOfWhatDrainsOrIsNotListed) {
+  BanTable book;
   book.Told(true, {Entry(1, BackendState::kDraining)});
   EXPECT_FALSE(book.Ban(1, 10));
   EXPECT_FALSE(book.Ban(9, 10)) << "listed once, perhaps, and absent now";
@@ -67,10 +67,10 @@
 
 // What was told last of each backend is what a plain model of bans and lists says, after any calls in any
 // order.
-TEST(BanBook, AnyOrder) {
+TEST(BanTable, AnyOrder) {
   for (uint32_t seed = 1; seed <= 300; ++seed) {
     std::mt19937 dice(seed);
-    BanBook book;
+    BanTable book;
     std::map<uint32_t, BackendState> list, told;  // discovery's; the module's view
     std::set<uint32_t> banned;
     for (int step = 0; step < 60; ++step) {
@@ -84,7 +84,7 @@
         if (auto entry = book.Lift(id, step)) told[entry->backend.id] = entry->backend.state;
       } else {
         bool whole = what == 2;
-        std::vector<Listed> entries;
+        std::vector<ListedBackend> entries;
         if (whole) {
           list.clear();
           told.clear();
@@ -96,7 +96,8 @@
           entries.push_back(Entry(i, state, 0, dice() % 3));
           list[i] = state;
         }
-        for (const Listed& entry : book.Told(whole, entries)) told[entry.backend.id] = entry.backend.state;
+        for (const ListedBackend& entry : book.Told(whole, entries))
+          told[entry.backend.id] = entry.backend.state;
       }
       size_t listed = 0, out = 0;
       for (uint32_t i = 1; i <= 4; ++i) {
--- a/tests/core/core_watch.h
+++ b/tests/core/core_watch.h
@@ -25,10 +25,10 @@
   CoreSettings s;
   s.module = micadock::Site();
   s.module.count_timeout_s = 0.02;
-  s.connections.idle_s = 2;
+  s.connections.idle_timeout_s = 2;
   s.connections.connect_timeout_s = 0.2;
   s.connections.drain_grace_s = 0.5;
-  s.connections.most = 6;
+  s.connections.max_connections = 6;
   s.seed = 1;
   s.has_counter = true;
   return s;
@@ -65,7 +65,7 @@
       if (it == connections_.end()) continue;
       passing_ = c;
       Ended(&it->second, micadock::Result::kOk);
-      core_->OnAnswer(now_, c, micadock::Result::kOk, 1, true, &effects_);
+      core_->OnResponse(now_, c, micadock::Result::kOk, 1, true, &effects_);
       Look();
       passing_ = 0;
     }
@@ -74,14 +74,14 @@
     for (const auto& [id, r] : requests_) {
       if (!r.answered && !r.gone) Broken("request " + std::to_string(id) + " never got an answer");
     }
-    if (core_->requests().held() != 0 || core_->requests().ids() != 0 ||
+    if (core_->requests().size() != 0 || core_->requests().id_count() != 0 ||
         core_->requests().unanswered() != 0) {
       Broken("requests left in the book");
     }
     if (core_->requests().streaming() != 0) Broken("begun answers left in the book");
-    if (core_->backends().out() != 0 || core_->backends().connections() != 0)
+    if (core_->backends().in_flight() != 0 || core_->backends().connections() != 0)
       Broken("exchanges left in the book");
-    if (core_->counts().out() != 0) Broken("counter calls left in the book");
+    if (core_->counter_calls().in_flight() != 0) Broken("counter calls left in the book");
     if (!connections_.empty()) Broken("connections left open");
   }
 
@@ -94,9 +94,9 @@
       out << id << (r.answered ? 'a' : '-') << (r.gone ? 'g' : '-') << (r.forgotten ? 'f' : '-');
       if (r.forgotten) continue;
       out << r.cls << (r.may_have_run ? 'r' : '-') << ago(r.deadline) << r.whole << r.body_gone << r.stream;
-      if (const Held* held = core_->requests().Find(id)) {
+      if (const RequestState* held = core_->requests().Find(id)) {
         for (const Attempt& a : held->attempts)
-          out << ',' << a.backend << (a.out ? 'o' : '-') << ago(a.began);
+          out << ',' << a.backend << (a.in_flight ? 'o' : '-') << ago(a.started_at);
         out << (held->may_have_run ? 'R' : '-');
       }
     }
@@ -157,7 +157,7 @@
   }
 
   void SetBackend(uint32_t id, micadock::BackendState state, bool moved) {
-    Listed& b = listed_[id];
+    ListedBackend& b = listed_[id];
     b.backend.id = id;
     b.backend.state = state;
     b.backend.weight = 1;
@@ -175,17 +175,18 @@
     }
   }
   void TellList(bool whole, uint32_t only = 0) {
-    std::vector<Listed> entries;
+    std::vector<ListedBackend> entries;
     for (const auto& [id, listed] : listed_) {
       if (whole ? listed.backend.state != micadock::BackendState::kGone : id == only)
         entries.push_back(listed);
     }
-    core_->OnList(now_, whole ? micadock::ListKind::kFull : micadock::ListKind::kDelta, entries, &effects_);
+    core_->OnBackendList(now_, whole ? micadock::ListKind::kFull : micadock::ListKind::kDelta, entries,
+                         &effects_);
     Look();
   }
   void Wait(double seconds) {
     now_ += seconds;
-    core_->OnTime(now_, &effects_);
+    core_->OnTimerExpired(now_, &effects_);
     Look();
   }
 
@@ -195,7 +196,7 @@
       case 0:
       case 1:
       case 2: {
-        Arrival a;
+        RequestArrived a;
         a.client = ++last_client_;
         a.id = "id" + std::to_string(Next() % 64);
         if (core_->IsOpen(a.id)) return;
@@ -219,7 +220,7 @@
         auto it = by_client_.find(client);
         if (it != by_client_.end() && !requests_[it->second].answered) requests_[it->second].gone = true;
         if (it != by_client_.end()) by_client_.erase(it);
-        core_->OnClientGone(now_, client, &effects_);
+        core_->OnClientDisconnected(now_, client, &effects_);
         return Look();
       }
       case 4:
@@ -228,7 +229,7 @@
         uint64_t c = Near(last_connection_);
         auto it = connections_.find(c);
         if (it != connections_.end()) it->second.up = true;
-        core_->OnConnected(now_, c, &effects_);
+        core_->OnConnectionOpened(now_, c, &effects_);
         return Look();
       }
       case 7:
@@ -237,7 +238,7 @@
         uint64_t c = Near(last_connection_);
         auto it = connections_.find(c);
         if (it != connections_.end() && it->second.busy) it->second.written = true;
-        core_->OnWritten(now_, c, &effects_);
+        core_->OnRequestWritten(now_, c, &effects_);
         return Look();
       }
       case 10:
@@ -248,7 +249,7 @@
         auto it = connections_.find(c);
         passing_ = c;
         if (it != connections_.end() && it->second.busy) Ended(&it->second, result);
-        core_->OnAnswer(now_, c, result, 1, Next() % 4 != 0, &effects_);
+        core_->OnResponse(now_, c, result, 1, Next() % 4 != 0, &effects_);
         Look();
         passing_ = 0;
         return;
@@ -257,12 +258,12 @@
         uint64_t c = Near(last_connection_);
         auto it = connections_.find(c);
         if (it != connections_.end() && it->second.busy) Ended(&it->second, Result::kReset);
-        core_->OnLost(now_, c, &effects_);
+        core_->OnConnectionLost(now_, c, &effects_);
         return Look();
       }
       case 13: {
         uint64_t c = Near(last_connection_);
-        core_->OnStale(now_, c, &effects_);
+        core_->OnConnectionStale(now_, c, &effects_);
         return Look();
       }
       case 14: {
@@ -280,13 +281,13 @@
         uint8_t kind = Next() % 4;
         if (kind == 0) {
           counts_.erase(call);
-          core_->OnCountLost(now_, call, &effects_);
+          core_->OnCounterCallLost(now_, call, &effects_);
         } else if (kind == 1) {
           if (counts_.count(call) != 0) counts_[call] = true;
-          core_->OnCountWritten(call);
+          core_->OnCounterCallWritten(call);
         } else {
           counts_.erase(call);
-          core_->OnCountAnswer(now_, call, kind == 2 ? Result::kOk : Result::kFull, Next(), &effects_);
+          core_->OnCounterResponse(now_, call, kind == 2 ? Result::kOk : Result::kFull, Next(), &effects_);
         }
         return Look();
       }
@@ -295,10 +296,10 @@
         uint32_t id = 1 + Next() % kBackends;
         if (Next() % 4 == 0) {
           banned_.insert(id);
-          core_->OnBan(now_, id, true, &effects_);
+          core_->OnBanChanged(now_, id, true, &effects_);
         } else {
           banned_.erase(id);
-          core_->OnBan(now_, id, false, &effects_);
+          core_->OnBanChanged(now_, id, false, &effects_);
         }
         return Look();
       }
@@ -307,7 +308,7 @@
         auto it = requests_.find(id);
         if (it == requests_.end() || it->second.whole || it->second.forgotten) return;
         it->second.body_gone = true;
-        core_->OnBodyGone(id);
+        core_->OnBodyDiscarded(id);
         return Look();
       }
       case 21: {
@@ -317,7 +318,7 @@
           it->second.whole = true;
           it->second.deadline = now_ + it->second.timeout_s;
         }
-        core_->OnBodyEnded(now_, id, &effects_);
+        core_->OnBodyCompleted(now_, id, &effects_);
         return Look();
       }
       case 22: {
@@ -326,13 +327,13 @@
         bool begins = it != connections_.end() && it->second.busy && it->second.written;
         if (it != connections_.end() && it->second.busy && !begins) Ended(&it->second, Result::kReset);
         beginning_ = c;
-        core_->OnAnswerBegun(now_, c, &effects_);
+        core_->OnResponseStarted(now_, c, &effects_);
         Look();
         beginning_ = 0;
         return;
       }
       case 18: {
-        core_->OnDrain(now_, Next() % 2 == 0, &effects_);
+        core_->OnDrainChanged(now_, Next() % 2 == 0, &effects_);
         return Look();
       }
       default: return Wait(Next() % 16 == 0 ? 1.5 : 0.01);
@@ -359,7 +360,7 @@
       std::visit([this](const auto& e) { Check(e); }, effect);
     }
     effects_.clear();
-    if (core_->backends().connections() > settings_.connections.most)
+    if (core_->backends().connections() > settings_.connections.max_connections)
       Broken("more connections than there may be");
   }
   Request* Known(uint32_t id) {
@@ -367,7 +368,7 @@
     if (r.client == 0 || r.forgotten) Broken("something of a request that is not held");
     return &r;
   }
-  void Check(const Answer& e) {
+  void Check(const SendResponse& e) {
     Request* r = Known(e.request);
     if (r->answered) Broken("a second final answer");
     if (r->gone) Broken("an answer to a client that has gone");
@@ -378,7 +379,7 @@
     ++answers_;
     served_ += e.status == 200;
   }
-  void Check(const BeginAnswer& e) {
+  void Check(const StartResponse& e) {
     Request* r = Known(e.request);
     if (r->answered) Broken("a second final answer");
     if (r->gone) Broken("an answer to a client that has gone");
@@ -389,13 +390,13 @@
     ++answers_;
     ++begun_;
   }
-  void Check(const BreakAnswer& e) {
+  void Check(const AbortResponse& e) {
     Request* r = Known(e.request);
     if (r->stream == 0) Broken("an answer broken off that has not begun");
     if (r->client != e.client) Broken("another client's answer broken off");
     r->stream = 0;
   }
-  void Check(const Forget& e) {
+  void Check(const ReleaseRequest& e) {
     Request* r = Known(e.request);
     if (!r->answered && !r->gone) Broken("forgotten without an answer");
     for (const auto& [id, c] : connections_) {
@@ -403,14 +404,14 @@
     }
     r->forgotten = true;
   }
-  void Check(const Connect& e) {
+  void Check(const OpenConnection& e) {
     if (connections_.count(e.connection) != 0) Broken("a connection's number is given again");
     if (!MaySend(e.address)) Broken("a connection to what has gone or has drained");
     connections_[e.connection].address = e.address;
     connections_[e.connection].since = now_;
     last_connection_ = e.connection;
   }
-  void Check(const Write& e) {
+  void Check(const WriteRequest& e) {
     Request* r = Known(e.request);
     auto it = connections_.find(e.connection);
     if (it == connections_.end()) return Broken("written on no connection");
@@ -420,7 +421,7 @@
     if (r->answered || r->gone) Broken("sent after the answer");
     if (r->body_gone) Broken("sent without its whole body");
     if (!MaySend(c.address)) Broken("sent to what has gone or has drained");
-    if (e.patience_s <= 0 || now_ + e.patience_s > r->deadline + 1e-9)
+    if (e.timeout_s <= 0 || now_ + e.timeout_s > r->deadline + 1e-9)
       Broken("to be waited for past the deadline");
     for (const auto& [id, other] : connections_) {
       if (other.busy && other.request == e.request && !settings_.module.parallel_tries)
@@ -435,7 +436,7 @@
     c.request = e.request;
     ++writes_;
   }
-  void Check(const Close& e) {
+  void Check(const CloseConnection& e) {
     auto it = connections_.find(e.connection);
     if (it == connections_.end()) return Broken("closed twice");
     if (it->second.busy && it->second.written && e.connection != passing_) {
@@ -443,12 +444,12 @@
     }
     connections_.erase(it);
   }
-  void Check(const Count& e) {
+  void Check(const CallCounter& e) {
     if (!counts_.emplace(e.call, false).second) Broken("a call's number is given again");
     last_call_ = e.call;
     called_[e.call] = now_;
   }
-  void Check(const DropCount& e) {
+  void Check(const CancelCounterCall& e) {
     auto it = counts_.find(e.call);
     if (it == counts_.end() || it->second) Broken("a call taken back that may have been added");
     if (it != counts_.end()) counts_.erase(it);
@@ -467,7 +468,7 @@
   std::map<uint64_t, uint32_t> by_client_;
   std::map<uint64_t, Connection> connections_;
   std::map<uint64_t, Place> places_;
-  std::map<uint32_t, Listed> listed_;
+  std::map<uint32_t, ListedBackend> listed_;
   std::set<uint32_t> banned_;
   std::map<uint64_t, double> called_;
   std::map<uint64_t, bool> counts_;  // out; whether it may have been added
--- a/tests/core/gateway_core_test.cpp
+++ b/tests/core/gateway_core_test.cpp
@@ -43,18 +43,18 @@
     uint64_t address;
   };
   void List(const std::vector<Entry>& entries, micadock::ListKind kind = micadock::ListKind::kFull) {
-    std::vector<Listed> listed;
+    std::vector<ListedBackend> listed;
     for (const Entry& e : entries) {
-      Listed l;
+      ListedBackend l;
       l.backend.id = e.id;
       l.backend.state = e.state;
       l.address = e.address;
       listed.push_back(l);
     }
-    core->OnList(now, kind, listed, &effects);
+    core->OnBackendList(now, kind, listed, &effects);
   }
   uint32_t Ask(uint64_t client, int cls = 0, double timeout_s = 1) {
-    Arrival a;
+    RequestArrived a;
     a.client = client;
     a.id = "r" + std::to_string(client);
     a.cls = cls;
@@ -76,23 +76,23 @@
   }
   // The connection that was asked for last comes up, and the whole request goes out on it.
   uint64_t Sent() {
-    uint64_t connection = Take<Connect>()->connection;
-    core->OnConnected(now, connection, &effects);
-    core->OnWritten(now, connection, &effects);
+    uint64_t connection = Take<OpenConnection>()->connection;
+    core->OnConnectionOpened(now, connection, &effects);
+    core->OnRequestWritten(now, connection, &effects);
     return connection;
   }
   // A connection that has been used and is kept.
   uint64_t Kept() {
     Ask(900);
     uint64_t connection = Sent();
-    core->OnAnswer(now, connection, Result::kOk, 1, true, &effects);
+    core->OnResponse(now, connection, Result::kOk, 1, true, &effects);
     effects.clear();
     outcomes.clear();
     return connection;
   }
   void At(double seconds) {
     now = 1000 + seconds;
-    core->OnTime(now, &effects);
+    core->OnTimerExpired(now, &effects);
   }
 
   CoreSettings settings;
@@ -105,18 +105,18 @@
 
 TEST_F(Core, OneRequestFromArrivalToItsEnd) {
   uint32_t id = Ask(5);
-  auto connect = Take<Connect>();
+  auto connect = Take<OpenConnection>();
   ASSERT_TRUE(connect);
   EXPECT_EQ(connect->address, 1u);
-  core->OnConnected(now + 0.01, connect->connection, &effects);
-  auto write = Take<Write>();
+  core->OnConnectionOpened(now + 0.01, connect->connection, &effects);
+  auto write = Take<WriteRequest>();
   ASSERT_TRUE(write);
   EXPECT_EQ(write->request, id);
-  EXPECT_FALSE(write->kept);
-  EXPECT_NEAR(write->patience_s, 1 - 0.005 - 0.01, 1e-9) << "the time that is left, less half of the margin";
-  core->OnWritten(now + 0.01, connect->connection, &effects);
-  core->OnAnswer(now + 0.05, connect->connection, Result::kOk, 2, true, &effects);
-  auto answer = Take<Answer>();
+  EXPECT_FALSE(write->reused);
+  EXPECT_NEAR(write->timeout_s, 1 - 0.005 - 0.01, 1e-9) << "the time that is left, less half of the margin";
+  core->OnRequestWritten(now + 0.01, connect->connection, &effects);
+  core->OnResponse(now + 0.05, connect->connection, Result::kOk, 2, true, &effects);
+  auto answer = Take<SendResponse>();
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->client, 5u);
   EXPECT_EQ(answer->status, 200);
@@ -125,8 +125,8 @@
   EXPECT_TRUE(outcomes[0].finished);
   EXPECT_NEAR(outcomes[0].took_s, 0.05, 1e-9);
   EXPECT_EQ(outcomes[0].true_units, 2);
-  ASSERT_TRUE(Take<Forget>());
-  EXPECT_EQ(core->requests().held(), 0u);
+  ASSERT_TRUE(Take<ReleaseRequest>());
+  EXPECT_EQ(core->requests().size(), 0u);
   EXPECT_EQ(core->backends().idle(), 1u);
 }
 
@@ -136,20 +136,20 @@
   Ask(1);
   uint64_t c = Sent();
   now += 2;
-  core->OnAnswer(now, c, Result::kOk, 1, true, &effects);
-  core->OnTime(now, &effects);
-  EXPECT_EQ(Take<Answer>()->status, 200);
-  EXPECT_FALSE(Take<Answer>());
+  core->OnResponse(now, c, Result::kOk, 1, true, &effects);
+  core->OnTimerExpired(now, &effects);
+  EXPECT_EQ(Take<SendResponse>()->status, 200);
+  EXPECT_FALSE(Take<SendResponse>());
   EXPECT_EQ(outcomes.size(), 1u);
 
   Ask(2);
-  c = Take<Write>()->connection;
-  core->OnWritten(now, c, &effects);
+  c = Take<WriteRequest>()->connection;
+  core->OnRequestWritten(now, c, &effects);
   now += 2;
-  core->OnTime(now, &effects);
-  core->OnAnswer(now, c, Result::kOk, 1, true, &effects);
-  EXPECT_EQ(Take<Answer>()->status, 503) << "a class without effect: nothing is lost by trying again";
-  EXPECT_FALSE(Take<Answer>());
+  core->OnTimerExpired(now, &effects);
+  core->OnResponse(now, c, Result::kOk, 1, true, &effects);
+  EXPECT_EQ(Take<SendResponse>()->status, 503) << "a class without effect: nothing is lost by trying again";
+  EXPECT_FALSE(Take<SendResponse>());
   ASSERT_EQ(outcomes.size(), 2u);
   EXPECT_EQ(outcomes[1].result, Result::kTimeout);
 }
@@ -159,13 +159,13 @@
   Ask(1, 2);
   Sent();
   At(0.996);
-  EXPECT_EQ(Take<Answer>()->status, 504);
+  EXPECT_EQ(Take<SendResponse>()->status, 504);
   EXPECT_EQ(abandoned.size(), 1u);
 
   hooks.on_request = {};
   Ask(2, 2);
   At(3);
-  EXPECT_EQ(Take<Answer>()->status, 503);
+  EXPECT_EQ(Take<SendResponse>()->status, 503);
 }
 
 // An attempt that timed out was all written: it may have run, also when nothing of it is out any more.
@@ -179,7 +179,7 @@
   ASSERT_EQ(outcomes.size(), 1u);
   EXPECT_EQ(outcomes[0].result, Result::kTimeout);
   At(0.996);
-  EXPECT_EQ(Take<Answer>()->status, 504);
+  EXPECT_EQ(Take<SendResponse>()->status, 504);
 }
 
 // A cancel that crosses the answer: the outcome that came first counts, the attempt ends once.
@@ -191,7 +191,7 @@
     outcomes.push_back(o);
     out->push_back(micadock::Of(ActionKind::kCancel, id));  // after it has ended
   };
-  core->OnAnswer(now, c, Result::kError, 0, true, &effects);
+  core->OnResponse(now, c, Result::kError, 0, true, &effects);
   ASSERT_EQ(outcomes.size(), 1u);
   EXPECT_EQ(outcomes[0].result, Result::kError);
 
@@ -201,77 +201,77 @@
     out->push_back(micadock::Of(ActionKind::kCancel, abandoned_id));
   };
   Ask(2);
-  uint64_t kept = Take<Write>()->connection;
-  core->OnWritten(now, kept, &effects);
-  core->OnClientGone(now, 2, &effects);
-  core->OnAnswer(now, kept, Result::kOk, 0, true, &effects);
+  uint64_t kept = Take<WriteRequest>()->connection;
+  core->OnRequestWritten(now, kept, &effects);
+  core->OnClientDisconnected(now, 2, &effects);
+  core->OnResponse(now, kept, Result::kOk, 0, true, &effects);
   ASSERT_EQ(outcomes.size(), 2u);
   EXPECT_EQ(outcomes[1].result, Result::kCancelled) << "it was all written, so it may have run";
-  EXPECT_FALSE(Take<Answer>());
+  EXPECT_FALSE(Take<SendResponse>());
 }
 
 TEST_F(Core, CancelledBeforeItWasWrittenHasNotRun) {
   uint32_t id = Ask(1, 2);
-  Take<Connect>();
+  Take<OpenConnection>();
   hooks.on_abandoned = [&](uint32_t, Actions* out) { out->push_back(micadock::Of(ActionKind::kCancel, id)); };
-  core->OnClientGone(now, 1, &effects);
+  core->OnClientDisconnected(now, 1, &effects);
   ASSERT_EQ(outcomes.size(), 1u);
   EXPECT_EQ(outcomes[0].result, Result::kNeverSent);
-  EXPECT_TRUE(Take<Close>());
-  EXPECT_EQ(core->requests().held(), 0u);
+  EXPECT_TRUE(Take<CloseConnection>());
+  EXPECT_EQ(core->requests().size(), 0u);
 }
 
 // A client that leaves while its outcome is being told: its answer is out, nothing is left in the books.
 TEST_F(Core, ClientLeavesAsItIsAnswered) {
   Ask(1);
   uint64_t c = Sent();
-  core->OnAnswer(now, c, Result::kOk, 0, true, &effects);
-  core->OnClientGone(now, 1, &effects);
+  core->OnResponse(now, c, Result::kOk, 0, true, &effects);
+  core->OnClientDisconnected(now, 1, &effects);
   EXPECT_TRUE(abandoned.empty());
-  EXPECT_EQ(core->requests().held(), 0u);
+  EXPECT_EQ(core->requests().size(), 0u);
 }
 
 // Answered by the module while a connection came up: nothing is sent after the answer.
 TEST_F(Core, NothingIsSentAfterTheAnswer) {
   uint32_t id = Ask(1);
-  uint64_t c = Take<Connect>()->connection;
+  uint64_t c = Take<OpenConnection>()->connection;
   hooks.on_timer = [&](uint64_t, Actions* out) { out->push_back(micadock::Of(ActionKind::kFail, id)); };
   hooks.on_request = [&](const micadock::Request&, Actions* out) {
     out->push_back(micadock::Of(ActionKind::kTimer, 0));
   };
   Ask(2);
-  core->OnTime(now, &effects);
-  EXPECT_EQ(Take<Answer>()->status, 502);
-  core->OnConnected(now, c, &effects);
-  EXPECT_FALSE(Take<Write>());
+  core->OnTimerExpired(now, &effects);
+  EXPECT_EQ(Take<SendResponse>()->status, 502);
+  core->OnConnectionOpened(now, c, &effects);
+  EXPECT_FALSE(Take<WriteRequest>());
   EXPECT_EQ(outcomes.at(0).result, Result::kConnectFailed);
 }
 
 TEST_F(Core, NothingToADrainingBackendAfterTheGrace) {
   uint64_t kept = Kept();
   List({{1, BackendState::kDraining, 1}}, micadock::ListKind::kDelta);
-  EXPECT_EQ(Take<Close>()->connection, kept) << "a kept connection of a draining backend";
+  EXPECT_EQ(Take<CloseConnection>()->connection, kept) << "a kept connection of a draining backend";
   now += 0.3;
   Ask(1);
-  auto connect = Take<Connect>();
+  auto connect = Take<OpenConnection>();
   ASSERT_TRUE(connect) << "within the grace";
   now += 0.15;  // over it, less the margin for the write
-  core->OnConnected(now, connect->connection, &effects);
-  EXPECT_FALSE(Take<Write>());
+  core->OnConnectionOpened(now, connect->connection, &effects);
+  EXPECT_FALSE(Take<WriteRequest>());
   EXPECT_EQ(outcomes.at(0).result, Result::kConnectFailed);
   Ask(2);
-  EXPECT_FALSE(Take<Connect>());
+  EXPECT_FALSE(Take<OpenConnection>());
   EXPECT_EQ(outcomes.at(1).result, Result::kConnectFailed);
 }
 
 TEST_F(Core, NothingToABackendThatHasGone) {
   Ask(1);
-  uint64_t c = Take<Connect>()->connection;
+  uint64_t c = Take<OpenConnection>()->connection;
   List({{2, BackendState::kReady, 2}});  // the whole list, without backend 1
-  core->OnConnected(now, c, &effects);
-  EXPECT_FALSE(Take<Write>());
+  core->OnConnectionOpened(now, c, &effects);
+  EXPECT_FALSE(Take<WriteRequest>());
   Ask(2);
-  EXPECT_FALSE(Take<Connect>());
+  EXPECT_FALSE(Take<OpenConnection>());
 }
 
 // A list that renames a backend's address with an attempt out: it ends as it ends, and its connection is not
@@ -279,19 +279,19 @@
 TEST_F(Core, ABackendMovesWithAnAttemptOut) {
   uint64_t idle = Kept();
   Ask(1);
-  uint64_t busy = Take<Write>()->connection;
+  uint64_t busy = Take<WriteRequest>()->connection;
   EXPECT_EQ(busy, idle);
-  core->OnWritten(now, busy, &effects);
+  core->OnRequestWritten(now, busy, &effects);
   Ask(2);
-  uint64_t coming = Take<Connect>()->connection;
+  uint64_t coming = Take<OpenConnection>()->connection;
   List({{1, BackendState::kReady, 7}, {2, BackendState::kReady, 2}});
-  core->OnAnswer(now, busy, Result::kOk, 0, true, &effects);
-  EXPECT_EQ(Take<Answer>()->status, 200);
-  EXPECT_EQ(Take<Close>()->connection, busy);
-  core->OnConnected(now, coming, &effects);
-  EXPECT_FALSE(Take<Write>()) << "to the address before";
+  core->OnResponse(now, busy, Result::kOk, 0, true, &effects);
+  EXPECT_EQ(Take<SendResponse>()->status, 200);
+  EXPECT_EQ(Take<CloseConnection>()->connection, busy);
+  core->OnConnectionOpened(now, coming, &effects);
+  EXPECT_FALSE(Take<WriteRequest>()) << "to the address before";
   Ask(3);
-  EXPECT_EQ(Take<Connect>()->address, 7u);
+  EXPECT_EQ(Take<OpenConnection>()->address, 7u);
 }
 
 // Another backend at the address of one that drains: the connections of the first are not used for the
@@ -299,12 +299,12 @@
 TEST_F(Core, ABackendComesAtTheAddressOfOneThatDrains) {
   uint64_t kept = Kept();
   List({{1, BackendState::kDraining, 1}, {2, BackendState::kReady, 1}}, micadock::ListKind::kDelta);
-  EXPECT_EQ(Take<Close>()->connection, kept);
+  EXPECT_EQ(Take<CloseConnection>()->connection, kept);
   hooks.on_request = [](const micadock::Request& r, Actions* out) {
     out->push_back(micadock::Send(r.id, 2));
   };
   Ask(1);
-  auto connect = Take<Connect>();
+  auto connect = Take<OpenConnection>();
   ASSERT_TRUE(connect);
   EXPECT_NE(connect->connection, kept);
 }
@@ -313,48 +313,48 @@
 TEST_F(Core, AStaleConnectionCostsNoAttempt) {
   uint64_t kept = Kept();
   Ask(1);
-  EXPECT_EQ(Take<Write>()->connection, kept);
-  core->OnStale(now, kept, &effects);
-  EXPECT_EQ(Take<Close>()->connection, kept);
-  auto connect = Take<Connect>();
+  EXPECT_EQ(Take<WriteRequest>()->connection, kept);
+  core->OnConnectionStale(now, kept, &effects);
+  EXPECT_EQ(Take<CloseConnection>()->connection, kept);
+  auto connect = Take<OpenConnection>();
   ASSERT_TRUE(connect);
   EXPECT_TRUE(outcomes.empty());
-  core->OnConnected(now, connect->connection, &effects);
-  EXPECT_TRUE(Take<Write>());
+  core->OnConnectionOpened(now, connect->connection, &effects);
+  EXPECT_TRUE(Take<WriteRequest>());
 }
 
 TEST_F(Core, IdleConnectionsEndBeforeTheBackendEndsThem) {
   uint64_t kept = Kept();
-  At(2 * kIdleShare - 0.001);
-  EXPECT_FALSE(Take<Close>());
-  EXPECT_NEAR(core->NextDue(now), 1000 + 2 * kIdleShare, 1e-9);
-  At(2 * kIdleShare);
-  EXPECT_EQ(Take<Close>()->connection, kept);
+  At(2 * kIdleTimeoutShare - 0.001);
+  EXPECT_FALSE(Take<CloseConnection>());
+  EXPECT_NEAR(core->NextDue(now), 1000 + 2 * kIdleTimeoutShare, 1e-9);
+  At(2 * kIdleTimeoutShare);
+  EXPECT_EQ(Take<CloseConnection>()->connection, kept);
 }
 
 TEST_F(Core, TheConnectionThatHasBeenIdleLongestMakesRoom) {
   std::vector<uint64_t> used;
-  for (uint64_t client = 1; client <= settings.connections.most; ++client) {
+  for (uint64_t client = 1; client <= settings.connections.max_connections; ++client) {
     Ask(client);
-    used.push_back(Take<Connect>()->connection);
+    used.push_back(Take<OpenConnection>()->connection);
   }
   Ask(50);
-  EXPECT_FALSE(Take<Connect>()) << "every connection is in use";
+  EXPECT_FALSE(Take<OpenConnection>()) << "every connection is in use";
   EXPECT_EQ(outcomes.at(0).result, Result::kConnectFailed);
   for (uint64_t c : used) {
-    core->OnConnected(now, c, &effects);
-    core->OnWritten(now, c, &effects);
+    core->OnConnectionOpened(now, c, &effects);
+    core->OnRequestWritten(now, c, &effects);
   }
   now += 0.01;
-  core->OnAnswer(now, used[2], Result::kOk, 0, true, &effects);
-  core->OnAnswer(now, used[4], Result::kOk, 0, true, &effects);
+  core->OnResponse(now, used[2], Result::kOk, 0, true, &effects);
+  core->OnResponse(now, used[4], Result::kOk, 0, true, &effects);
   effects.clear();
   hooks.on_request = [](const micadock::Request& r, Actions* out) {
     out->push_back(micadock::Send(r.id, 2));
   };
   Ask(51);
-  EXPECT_EQ(Take<Close>()->connection, used[2]);
-  EXPECT_EQ(Take<Connect>()->address, 2u);
+  EXPECT_EQ(Take<CloseConnection>()->connection, used[2]);
+  EXPECT_EQ(Take<OpenConnection>()->address, 2u);
 }
 
 TEST_F(Core, TwoAttemptsOutOnlyWhereTheSettingsAllowIt) {
@@ -363,8 +363,8 @@
     out->push_back(micadock::Send(r.id, 2));
   };
   Ask(1);
-  EXPECT_TRUE(Take<Connect>());
-  EXPECT_FALSE(Take<Connect>());
+  EXPECT_TRUE(Take<OpenConnection>());
+  EXPECT_FALSE(Take<OpenConnection>());
   EXPECT_EQ(outcomes.at(0).result, Result::kNeverSent);
 }
 
@@ -372,9 +372,9 @@
 TEST_F(Core, AnIdIsOpenAsLongAsAnAttemptIsOut) {
   Ask(1);
   uint64_t c = Sent();
-  core->OnClientGone(now, 1, &effects);
+  core->OnClientDisconnected(now, 1, &effects);
   EXPECT_TRUE(core->IsOpen("r1"));
-  core->OnLost(now, c, &effects);
+  core->OnConnectionLost(now, c, &effects);
   EXPECT_FALSE(core->IsOpen("r1"));
   EXPECT_EQ(outcomes.at(0).result, Result::kReset);
 }
@@ -387,28 +387,28 @@
   };
   hooks.on_count = [&](const micadock::CountAnswer& a, Actions*) { told.push_back(a); };
   Ask(1);
-  auto count = Take<Count>();
+  auto count = Take<CallCounter>();
   ASSERT_TRUE(count);
-  core->OnCountWritten(count->call);
-  core->OnCountAnswer(now, count->call, Result::kOk, 7, &effects);
-  core->OnCountAnswer(now, count->call, Result::kOk, 9, &effects);
+  core->OnCounterCallWritten(count->call);
+  core->OnCounterResponse(now, count->call, Result::kOk, 7, &effects);
+  core->OnCounterResponse(now, count->call, Result::kOk, 9, &effects);
   ASSERT_EQ(told.size(), 1u);
   EXPECT_EQ(told[0].total, 7);
   Ask(2);
-  uint64_t unwritten = Take<Count>()->call;
+  uint64_t unwritten = Take<CallCounter>()->call;
   Ask(3);
-  uint64_t written = Take<Count>()->call;
-  core->OnCountWritten(written);
-  At(kCountPatience * 0.02 + 1e-9);
+  uint64_t written = Take<CallCounter>()->call;
+  core->OnCounterCallWritten(written);
+  At(kCounterTimeoutFactor * 0.02 + 1e-9);
   ASSERT_EQ(told.size(), 3u);
   EXPECT_EQ(told[1].result, Result::kConnectFailed);
-  EXPECT_EQ(Take<DropCount>()->call, unwritten) << "told as never added, so it must not go out";
+  EXPECT_EQ(Take<CancelCounterCall>()->call, unwritten) << "told as never added, so it must not go out";
   EXPECT_EQ(told[2].result, Result::kTimeout);
-  EXPECT_FALSE(Take<DropCount>());
-  core->OnCountAnswer(now, written, Result::kOk, 11, &effects);
-  core->OnCountLost(now, unwritten, &effects);
+  EXPECT_FALSE(Take<CancelCounterCall>());
+  core->OnCounterResponse(now, written, Result::kOk, 11, &effects);
+  core->OnCounterCallLost(now, unwritten, &effects);
   EXPECT_EQ(told.size(), 3u);
-  EXPECT_EQ(core->counts().out(), 0u);
+  EXPECT_EQ(core->counter_calls().in_flight(), 0u);
 }
 
 // SIGTERM while a request is held and a counter call is out: what comes is served for a while, then idle
@@ -424,17 +424,17 @@
   core->BeginShutdown(now, &effects);
   core->BeginShutdown(now, &effects);
   EXPECT_FALSE(core->ready());
-  EXPECT_TRUE(Take<AskClientsToClose>());
-  EXPECT_FALSE(Take<AskClientsToClose>()) << "once";
-  EXPECT_FALSE(Take<CloseIdleClients>());
-  EXPECT_EQ(core->NextDue(now) <= now + kStillComingS, true);
-  At(kStillComingS);
-  EXPECT_TRUE(Take<CloseIdleClients>());
-  EXPECT_FALSE(Take<StopIfQuiet>()) << "a request is held";
-  core->OnAnswer(now, c, Result::kOk, 0, true, &effects);
-  EXPECT_TRUE(Take<StopIfQuiet>());
+  EXPECT_TRUE(Take<DisableClientKeepAlive>());
+  EXPECT_FALSE(Take<DisableClientKeepAlive>()) << "once";
+  EXPECT_FALSE(Take<CloseIdleClientConnections>());
+  EXPECT_EQ(core->NextDue(now) <= now + kShutdownIdleCloseDelayS, true);
+  At(kShutdownIdleCloseDelayS);
+  EXPECT_TRUE(Take<CloseIdleClientConnections>());
+  EXPECT_FALSE(Take<StopIfIdle>()) << "a request is held";
+  core->OnResponse(now, c, Result::kOk, 0, true, &effects);
+  EXPECT_TRUE(Take<StopIfIdle>());
   EXPECT_FALSE(Take<Stop>());
-  At(1.5 + kEndMarginS);  // the longest deadline of the settings
+  At(1.5 + kShutdownMarginS);  // the longest deadline of the settings
   EXPECT_TRUE(Take<Stop>());
 }
 
@@ -445,21 +445,21 @@
     out->push_back(micadock::Send(r.id, 1));
   };
   core->BeginShutdown(now, &effects);
-  At(kStillComingS);
+  At(kShutdownIdleCloseDelayS);
   Ask(1);
-  EXPECT_TRUE(Take<Answer>() == std::nullopt) << "it can be finished";
+  EXPECT_TRUE(Take<SendResponse>() == std::nullopt) << "it can be finished";
   uint64_t served = Sent();
-  core->OnAnswer(now, served, Result::kOk, 0, true, &effects);
-  EXPECT_EQ(Take<Answer>()->status, 200);
-  At(2 * kEndMarginS);
+  core->OnResponse(now, served, Result::kOk, 0, true, &effects);
+  EXPECT_EQ(Take<SendResponse>()->status, 200);
+  At(2 * kShutdownMarginS);
   effects.clear();
   Ask(2);
-  std::optional<Answer> refused = Take<Answer>();
+  std::optional<SendResponse> refused = Take<SendResponse>();
   ASSERT_TRUE(refused);
   EXPECT_EQ(refused->status, 503);
-  EXPECT_FALSE(Take<Connect>()) << "no backend has seen it";
-  EXPECT_FALSE(Take<Write>()) << "nor on a kept connection";
-  At(1.5 + kEndMarginS);
+  EXPECT_FALSE(Take<OpenConnection>()) << "no backend has seen it";
+  EXPECT_FALSE(Take<WriteRequest>()) << "nor on a kept connection";
+  At(1.5 + kShutdownMarginS);
   EXPECT_TRUE(Take<Stop>());
 }
 
@@ -468,11 +468,11 @@
   Sent();
   double before = now;
   now -= 100;
-  core->OnTime(now, &effects);
-  EXPECT_FALSE(Take<Answer>());
+  core->OnTimerExpired(now, &effects);
+  EXPECT_FALSE(Take<SendResponse>());
   now = before + 1;
-  core->OnTime(now, &effects);
-  EXPECT_TRUE(Take<Answer>());
+  core->OnTimerExpired(now, &effects);
+  EXPECT_TRUE(Take<SendResponse>());
 }
 
 TEST_F(Core, NoCounterIsNotAdded) {
--- a/tests/core/search.h
+++ b/tests/core/search.h
@@ -91,7 +91,7 @@
         if (std::chrono::steady_clock::now() > end) return result;
         std::string longer = path + event;
         CoreSettings settings = WatchedSite();
-        settings.connections.most = 3;
+        settings.connections.max_connections = 3;
         CoreWatch watch(settings, true);
         watch.Begin(reinterpret_cast<const uint8_t*>(longer.data()), longer.size(), 2);
         std::string digest = watch.Digest();
--- a/tests/golden/stored_formats_test.cpp
+++ b/tests/golden/stored_formats_test.cpp
@@ -257,89 +257,89 @@
 std::vector<ivygw::core::Event> SampleEvents() {
   using namespace ivygw::core;
   using micadock::BackendState, micadock::ListKind, micadock::Result;
-  std::vector<Event> events = {Arrival{.client = 7,
-                                       .id = "order-77",
-                                       .cls = 1,
-                                       .plan = 2,
-                                       .customer = 0x1b4d65521,
-                                       .units = 2.5,
-                                       .entries = 3,
-                                       .timeout_s = 0.75,
-                                       .body_s = 0.5,
-                                       .recorded = true,
-                                       .resumed = false,
-                                       .may_have_run = true,
-                                       .ran_age_s = 0.125,
-                                       .ran_zone = 11,
-                                       .ran_cell = 12},
-                               ClientGone{21},
-                               Connected{22},
-                               Written{23},
-                               Answered{24, Result::kError, 1.5, true},
-                               Lost{25},
-                               Stale{26},
-                               ListFailed{},
-                               CountWritten{27},
-                               CountAnswered{28, Result::kFull, 12.25},
-                               CountLost{29},
-                               TimeCame{},
-                               ShutdownBegun{},
-                               BanTold{30, true},
-                               DrainTold{true},
-                               BodyGone{31},
-                               BodyEnded{32},
-                               AnswerBegun{33},
-                               IntentTold{.request = 34, .attempt = 35, .ok = true},
-                               Withdrawn{36},
-                               FleetTold{37, false},
-                               ShareTold{.customer = 38, .share = 0.25, .seconds = 2.5}};
+  std::vector<Event> events = {RequestArrived{.client = 7,
+                                              .id = "order-77",
+                                              .cls = 1,
+                                              .plan = 2,
+                                              .customer = 0x1b4d65521,
+                                              .units = 2.5,
+                                              .entries = 3,
+                                              .timeout_s = 0.75,
+                                              .body_s = 0.5,
+                                              .recorded = true,
+                                              .resumed = false,
+                                              .may_have_run = true,
+                                              .ran_age_s = 0.125,
+                                              .ran_zone = 11,
+                                              .ran_cell = 12},
+                               ClientDisconnected{21},
+                               ConnectionOpened{22},
+                               RequestWritten{23},
+                               ResponseReceived{24, Result::kError, 1.5, true},
+                               ConnectionLost{25},
+                               ConnectionStale{26},
+                               DiscoveryFailed{},
+                               CounterCallWritten{27},
+                               CounterResponseReceived{28, Result::kFull, 12.25},
+                               CounterCallLost{29},
+                               TimerExpired{},
+                               ShutdownRequested{},
+                               BackendBanChanged{30, true},
+                               DrainChanged{true},
+                               BodyDiscarded{31},
+                               BodyCompleted{32},
+                               ResponseStarted{33},
+                               IntentResolved{.request = 34, .attempt = 35, .ok = true},
+                               RequestWithdrawn{36},
+                               FleetSizeChanged{37, false},
+                               QuotaShareGranted{.customer = 38, .share = 0.25, .seconds = 2.5}};
   micadock::Learned learned{
       .backends = {{.id = 9, .speed = 1.5, .pace = 0.25, .limit = 3, .fails = 0.1, .cold_since = 17.5}},
       .work = {0.5, 0.25},
       .units = {1, 2},
       .let_in = 0.75,
       .warm_work = 3.5};
-  events.push_back(LearnedTold{learned});
-  Arrival resumed;
+  events.push_back(LearnedStateRestored{learned});
+  RequestArrived resumed;
   resumed.resumed = true;
   events.push_back(resumed);
   for (BackendState state : {BackendState::kGone, BackendState::kReady, BackendState::kDraining}) {
-    Listed listed;
+    ListedBackend listed;
     listed.backend = {
         .id = 39, .state = state, .kind = 1, .zone = 2, .cell = 3, .weight = 0.5, .started_s = 1700000000.25};
     listed.address = 40;
     for (ListKind kind : {ListKind::kDelta, ListKind::kFull, ListKind::kCached, ListKind::kFailed}) {
-      events.push_back(ListTold{kind, {listed}});
+      events.push_back(BackendListUpdated{kind, {listed}});
     }
   }
   for (Result result : {Result::kOk, Result::kError, Result::kFull, Result::kTimeout, Result::kConnectFailed,
                         Result::kReset, Result::kCancelled, Result::kNeverSent}) {
-    events.push_back(Answered{41, result, 2.5, false});
+    events.push_back(ResponseReceived{41, result, 2.5, false});
   }
   return events;
 }
 
 ivygw::core::Effects SampleEffects() {
   using namespace ivygw::core;
-  return {Hold{.request = 1, .client = 2},
-          Answer{.client = 3, .request = 4, .status = 429, .retry_after_s = 0.5, .connection = 5},
-          Forget{6},
-          Connect{.connection = 7, .address = 8},
-          Write{.connection = 9, .request = 10, .attempt = 11, .patience_s = 0.25, .kept = true},
-          Close{12},
-          Count{.call = 13, .name = 14, .amount = 2.5, .keep_s = 3.5},
-          DropCount{15},
+  return {RegisterRequest{.request = 1, .client = 2},
+          SendResponse{.client = 3, .request = 4, .status = 429, .retry_after_s = 0.5, .connection = 5},
+          ReleaseRequest{6},
+          OpenConnection{.connection = 7, .address = 8},
+          WriteRequest{.connection = 9, .request = 10, .attempt = 11, .timeout_s = 0.25, .reused = true},
+          CloseConnection{12},
+          CallCounter{.call = 13, .name = 14, .amount = 2.5, .ttl_s = 3.5},
+          CancelCounterCall{15},
           Log{"text"},
-          Subscribe{},
-          AskClientsToClose{},
-          CloseIdleClients{},
-          StopIfQuiet{},
+          SubscribeToDiscovery{},
+          DisableClientKeepAlive{},
+          CloseIdleClientConnections{},
+          StopIfIdle{},
           Stop{},
-          KeepClients{},
-          BeginAnswer{.client = 16, .request = 17, .connection = 18},
-          BreakAnswer{.client = 19, .request = 20},
-          Intend{.request = 21, .attempt = 22, .backend = 23},
-          AttemptOver{.request = 24, .attempt = 25, .may_have_run = true}};
+          EnableClientKeepAlive{},
+          StartResponse{.client = 16, .request = 17, .connection = 18},
+          AbortResponse{.client = 19, .request = 20},
+          RecordIntent{.request = 21, .attempt = 22, .backend = 23},
+          RecordAttemptEnd{.request = 24, .attempt = 25, .may_have_run = true}};
 }
 
 std::string SampleTurns() {
--- a/tests/rig/counter_calls.h
+++ b/tests/rig/counter_calls.h
@@ -7,7 +7,7 @@
 #include <functional>
 #include <vector>
 
-#include "core/counter_book.h"
+#include "core/counter_call_table.h"
 #include "net/counter_client.h"
 #include "rig/gateway_rig.h"
 
@@ -42,7 +42,7 @@
  private:
   void OnCountWritten(uint64_t call) override { book_.OnWritten(call); }
   void OnCountAnswer(uint64_t call, micadock::Result result, double total) override {
-    if (auto answer = book_.OnAnswer(call, result, total)) answers.push_back(*answer);
+    if (auto answer = book_.OnResponse(call, result, total)) answers.push_back(*answer);
   }
   void OnCountLost(uint64_t call) override {
     if (auto answer = book_.OnLost(call)) answers.push_back(*answer);
@@ -52,9 +52,9 @@
     core::Effects effects;
     effects.swap(effects_);
     for (const core::Effect& effect : effects) {
-      if (auto* count = std::get_if<core::Count>(&effect)) {
-        client.Call(count->call, count->name, count->amount, count->keep_s);
-      } else if (auto* drop = std::get_if<core::DropCount>(&effect)) {
+      if (auto* count = std::get_if<core::CallCounter>(&effect)) {
+        client.Call(count->call, count->name, count->amount, count->ttl_s);
+      } else if (auto* drop = std::get_if<core::CancelCounterCall>(&effect)) {
         client.Drop(drop->call);
       }
     }
@@ -73,7 +73,7 @@
     });
   }
 
-  core::CounterBook book_;
+  core::CounterCallTable book_;
   core::TimerQueue timers_;
   core::Effects effects_;
   asio::steady_timer timer_;
--- a/tests/trace/trace_test.cpp
+++ b/tests/trace/trace_test.cpp
@@ -20,56 +20,57 @@
 using core::Event;
 
 std::vector<Event> EachEvent() {
-  core::Arrival arrival{7, "order-77", 1, 2, 0x1b4d65521, 2.5, 3, 0.75, 0.5, true, true, true, 0.125, 1, 2};
-  core::Listed listed;
+  core::RequestArrived arrival{7,   "order-77", 1,    2,    0x1b4d65521, 2.5, 3, 0.75,
+                               0.5, true,       true, true, 0.125,       1,   2};
+  core::ListedBackend listed;
   listed.backend = {9, micadock::BackendState::kDraining, 1, 2, 3, 0.5, 1700000000.25};
   listed.address = 4;
   return {arrival,
-          core::ClientGone{1},
-          core::Connected{2},
-          core::Written{3},
-          core::Answered{4, micadock::Result::kError, 1.5, true},
-          core::Lost{5},
-          core::Stale{6},
-          core::ListTold{micadock::ListKind::kDelta, {listed, listed}},
-          core::ListFailed{},
-          core::CountWritten{7},
-          core::CountAnswered{8, micadock::Result::kFull, 12.25},
-          core::CountLost{9},
-          core::TimeCame{},
-          core::ShutdownBegun{},
-          core::BanTold{10, true},
-          core::DrainTold{true},
-          core::BodyGone{11},
-          core::BodyEnded{12},
-          core::AnswerBegun{13},
-          core::LearnedTold{
+          core::ClientDisconnected{1},
+          core::ConnectionOpened{2},
+          core::RequestWritten{3},
+          core::ResponseReceived{4, micadock::Result::kError, 1.5, true},
+          core::ConnectionLost{5},
+          core::ConnectionStale{6},
+          core::BackendListUpdated{micadock::ListKind::kDelta, {listed, listed}},
+          core::DiscoveryFailed{},
+          core::CounterCallWritten{7},
+          core::CounterResponseReceived{8, micadock::Result::kFull, 12.25},
+          core::CounterCallLost{9},
+          core::TimerExpired{},
+          core::ShutdownRequested{},
+          core::BackendBanChanged{10, true},
+          core::DrainChanged{true},
+          core::BodyDiscarded{11},
+          core::BodyCompleted{12},
+          core::ResponseStarted{13},
+          core::LearnedStateRestored{
               {{{9, 1.5, 0.25, 3, 0.1, 17.5}, {10, 1, 0, 4, 0, 0}}, {0.5, 0.25}, {1, 2}, 0.75, 3.5}},
-          core::IntentTold{14, 2, true},
-          core::Withdrawn{15},
-          core::FleetTold{16, false},
-          core::ShareTold{17, 0.25, 2.5}};
+          core::IntentResolved{14, 2, true},
+          core::RequestWithdrawn{15},
+          core::FleetSizeChanged{16, false},
+          core::QuotaShareGranted{17, 0.25, 2.5}};
 }
 Effects EachEffect() {
-  return {core::Hold{1, 2},
-          core::Answer{1, 2, 429, 0.5, 3},
-          core::Forget{4},
-          core::Connect{5, 6},
-          core::Write{7, 8, 1, 0.25, true},
-          core::Close{9},
-          core::Count{1, 0xdeadbeef, 2, 3},
-          core::DropCount{4},
+  return {core::RegisterRequest{1, 2},
+          core::SendResponse{1, 2, 429, 0.5, 3},
+          core::ReleaseRequest{4},
+          core::OpenConnection{5, 6},
+          core::WriteRequest{7, 8, 1, 0.25, true},
+          core::CloseConnection{9},
+          core::CallCounter{1, 0xdeadbeef, 2, 3},
+          core::CancelCounterCall{4},
           core::Log{"text"},
-          core::Subscribe{},
-          core::AskClientsToClose{},
-          core::CloseIdleClients{},
-          core::StopIfQuiet{},
+          core::SubscribeToDiscovery{},
+          core::DisableClientKeepAlive{},
+          core::CloseIdleClientConnections{},
+          core::StopIfIdle{},
           core::Stop{},
-          core::KeepClients{},
-          core::BeginAnswer{1, 2, 3},
-          core::BreakAnswer{4, 5},
-          core::Intend{6, 1, 7},
-          core::AttemptOver{8, 2, true}};
+          core::EnableClientKeepAlive{},
+          core::StartResponse{1, 2, 3},
+          core::AbortResponse{4, 5},
+          core::RecordIntent{6, 1, 7},
+          core::RecordAttemptEnd{8, 2, true}};
 }
 
 TEST(Codec, EachEventAndEffectComesBack) {
@@ -98,7 +99,7 @@
 TEST(Codec, NamesNoCustomerAndTellsThemApart) {
   Mask mask, other;
   Event event = EachEvent()[0];
-  auto masked = std::get<core::Arrival>(Masked(event, mask));
+  auto masked = std::get<core::RequestArrived>(Masked(event, mask));
   EXPECT_EQ(masked.customer, mask.Customer(0x1b4d65521));
   EXPECT_NE(masked.customer, 0x1b4d65521u);
   EXPECT_NE(masked.customer, mask.Customer(0x1b4d65520));
@@ -106,8 +107,8 @@
   EXPECT_EQ(masked.id.find("order"), std::string::npos);
   EXPECT_EQ(masked.units, 2.5);
   CounterNames names;
-  std::string effects = EncodeEffects({core::Count{1, 0xdeadbeef, 2, 3}}, &names);
-  EXPECT_EQ(std::get<core::Count>(DecodeEffects(effects)[0]).name, 1u) << "the first name that was met";
+  std::string effects = EncodeEffects({core::CallCounter{1, 0xdeadbeef, 2, 3}}, &names);
+  EXPECT_EQ(std::get<core::CallCounter>(DecodeEffects(effects)[0]).name, 1u) << "the first name that was met";
 }
 
 // Every cut and every changed byte of a record is refused or read as another sound one; none harms.
@@ -255,23 +256,25 @@
   core::Driver<Port>* driver = nullptr;
   double Now() { return now; }
   void AfterTurn() {}
-  void Do(core::Connect& e) {
-    if (random() % 8 != 0) driver->Tell(core::Connected{e.connection});
+  void Execute(core::OpenConnection& e) {
+    if (random() % 8 != 0) driver->Dispatch(core::ConnectionOpened{e.connection});
   }
-  void Do(core::Write& e) {
-    if (e.kept && random() % 8 == 0) return driver->Tell(core::Stale{e.connection});
-    driver->Tell(core::Written{e.connection});
+  void Execute(core::WriteRequest& e) {
+    if (e.reused && random() % 8 == 0) return driver->Dispatch(core::ConnectionStale{e.connection});
+    driver->Dispatch(core::RequestWritten{e.connection});
     const micadock::Result results[] = {micadock::Result::kOk, micadock::Result::kError,
                                         micadock::Result::kFull};
     if (random() % 16 != 0)
-      driver->Tell(core::Answered{e.connection, results[random() % 8 < 6 ? 0 : 1 + random() % 2], 1, true});
+      driver->Dispatch(
+          core::ResponseReceived{e.connection, results[random() % 8 < 6 ? 0 : 1 + random() % 2], 1, true});
   }
-  void Do(core::Count& e) {
-    driver->Tell(core::CountWritten{e.call});
-    if (random() % 4 != 0) driver->Tell(core::CountAnswered{e.call, micadock::Result::kOk, e.amount + 1});
+  void Execute(core::CallCounter& e) {
+    driver->Dispatch(core::CounterCallWritten{e.call});
+    if (random() % 4 != 0)
+      driver->Dispatch(core::CounterResponseReceived{e.call, micadock::Result::kOk, e.amount + 1});
   }
   template <typename Other>
-  void Do(Other&) {}
+  void Execute(Other&) {}
 };
 
 class Replayed : public testing::Test {
@@ -293,25 +296,26 @@
       turns.push_back(DecodeTurns(bytes).at(0));
     });
     port.driver = &driver;
-    core::ListTold list;
+    core::BackendListUpdated list;
     for (uint32_t id = 1; id <= 3; ++id) {
-      core::Listed l;
+      core::ListedBackend l;
       l.backend.id = id;
       l.backend.weight = 1;
       l.address = id;
       list.entries.push_back(l);
     }
-    driver.Tell(list);
+    driver.Dispatch(list);
     for (uint64_t client = 1; client <= 400; ++client) {
       port.now += 0.01;
-      driver.Tell(core::TimeCame{});
-      driver.Tell(core::Arrival{client, "r" + std::to_string(client), static_cast<int>(port.random() % 3), 0,
-                                port.random() % 200, 1, 3, 0.5});
-      if (port.random() % 16 == 0) driver.Tell(core::ClientGone{client});
+      driver.Dispatch(core::TimerExpired{});
+      driver.Dispatch(core::RequestArrived{client, "r" + std::to_string(client),
+                                           static_cast<int>(port.random() % 3), 0, port.random() % 200, 1, 3,
+                                           0.5});
+      if (port.random() % 16 == 0) driver.Dispatch(core::ClientDisconnected{client});
     }
     served = std::count_if(turns.begin(), turns.end(), [](const Turn& t) {
       for (const core::Effect& e : DecodeEffects(t.effects)) {
-        if (auto* a = std::get_if<core::Answer>(&e)) return a->status == 200;
+        if (auto* a = std::get_if<core::SendResponse>(&e)) return a->status == 200;
       }
       return false;
     });
@@ -347,7 +351,7 @@
   for (size_t i = turns.size() / 2; at == 0; ++i) {
     Effects effects = DecodeEffects(turns[i].effects);
     for (core::Effect& e : effects) {
-      if (auto* answer = std::get_if<core::Answer>(&e)) {
+      if (auto* answer = std::get_if<core::SendResponse>(&e)) {
         answer->status = 599;
         at = i;
       }
