--- a/bench/core_mutations.py
+++ b/bench/core_mutations.py
@@ -1,6 +1,6 @@
 #!/usr/bin/env python3
-"""Breaks the core by one line at a time, in a copy of the sources, and tells which tests notice: its own, events in any
-order, or the scenarios in virtual time. Usage: bench/core_mutations.py [--jobs N]"""
+"""Mutation testing of the core: changes one line at a time in a copy of the sources and reports which tests fail: the
+core's own, random events, or the scenarios in virtual time. Usage: bench/core_mutations.py [--jobs N]"""
 import argparse
 import os
 import pathlib
@@ -9,33 +9,34 @@
 import tempfile
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-CORE, BACKENDS, COUNTS, BOOK = (f"src/core/{n}" for n in
-                                ("gateway_core.cpp", "backend_book.cpp", "counter_book.h", "request_book.h"))
+CORE, BACKENDS, COUNTER_CALLS, REQUESTS = (f"src/core/{n}" for n in
+                                ("gateway_core.cpp", "backend_table.cpp", "counter_call_table.h", "request_table.h"))
 MUTATIONS = [
-    ("guard dropped", CORE, "case Due::kGuard: Guard(now, static_cast<uint32_t>(timer.tag), out); break;",
-     "case Due::kGuard: break;"),
-    ("answered twice", CORE, "if (!requests_.Answer(request)) return;",
-     "if (requests_.Find(request) == nullptr) return; requests_.Answer(request);"),
-    ("grace not kept", BACKENDS, "!(it->second.draining && now >= it->second.no_send_after)", "true"),
+    ("request deadline ignored", CORE,
+     "case TimerKind::kRequestDeadline: OnRequestDeadline(now, static_cast<uint32_t>(timer.id), out); break;",
+     "case TimerKind::kRequestDeadline: break;"),
+    ("answered twice", CORE, "if (!requests_.MarkAnswered(request)) return;",
+     "if (requests_.Find(request) == nullptr) return; requests_.MarkAnswered(request);"),
+    ("grace period ignored", BACKENDS, "!(it->second.draining && now >= it->second.no_send_after)", "true"),
     ("cancelled counted as never sent", CORE, "*ran ? Result::kCancelled : Result::kNeverSent", "Result::kNeverSent"),
-    ("attempt left in the books", CORE, "  attempt.out = false;\n", ""),
-    ("kept connection of the address before used", BACKENDS,
-     "  for (uint64_t connection : kept) Drop(connection, out);\n}\n\nvoid BackendBook::Drain", "}\n\nvoid BackendBook::Drain"),
-    ("kept connection of a draining backend used", BACKENDS,
-     "  std::vector<uint64_t> kept = b->kept;\n  for (uint64_t connection : kept) Drop(connection, out);\n}\n\nvoid BackendBook::Remove",
-     "}\n\nvoid BackendBook::Remove"),
-    ("two attempts at once", CORE, "(two && !settings_.module.parallel_tries) ||", ""),
-    ("late connection written to", BACKENDS, "if (late) return End(", "if (false) return End("),
-    ("a time-out cannot have run", BOOK, "return result != micadock::Result::kFull &&",
+    ("attempt left in flight", CORE, "  attempt.in_flight = false;\n", ""),
+    ("idle connection to the old address used", BACKENDS,
+     "  for (uint64_t connection : idle) Discard(connection, out);\n}\n\nvoid BackendTable::StartDrain", "}\n\nvoid BackendTable::StartDrain"),
+    ("idle connection of a draining backend used", BACKENDS,
+     "  std::vector<uint64_t> idle = b->idle;\n  for (uint64_t connection : idle) Discard(connection, out);\n}\n\nvoid BackendTable::Remove",
+     "}\n\nvoid BackendTable::Remove"),
+    ("two attempts at once", CORE, "(has_attempt_in_flight && !settings_.policy.parallel_tries) ||", ""),
+    ("late connection written to", BACKENDS, "if (expired) return EndExchange(", "if (false) return EndExchange("),
+    ("a time-out cannot have run", REQUESTS, "return result != micadock::Result::kFull &&",
      "return result != micadock::Result::kTimeout && result != micadock::Result::kFull &&"),
-    ("a written call told as not added", COUNTS, "it->second.written ? micadock::Result::kTimeout :", "false ? micadock::Result::kTimeout :"),
-    ("cap on connections not kept", BACKENDS, "if (connections_.size() < limits_.most) return true;", "return true;"),
-    ("sent after the answer", CORE, "if (held != nullptr && held->answered) return OnLost(now, connection, out);\n  Ended(now, backends_.OnConnected",
-     "Ended(now, backends_.OnConnected"),
-    ("patience never over", BACKENDS, "  timers->Add(exchange.give_up, Due::kPatience, exchange.number);\n", ""),
+    ("a written call reported as not added", COUNTER_CALLS, "it->second.written ? micadock::Result::kTimeout :", "false ? micadock::Result::kTimeout :"),
+    ("cap on connections ignored", BACKENDS, "if (connections_.size() < limits_.max_connections) return true;", "return true;"),
+    ("sent after the answer", CORE, "(state->answered || state->body_discarded))\n    return OnConnectionLost(now, connection, out);\n  OnExchangeEnd(now, backends_.OnConnectionOpened",
+     "state->body_discarded)\n    return OnConnectionLost(now, connection, out);\n  OnExchangeEnd(now, backends_.OnConnectionOpened"),
+    ("attempt timeout never set", BACKENDS, "  timers->Add(exchange.deadline, TimerKind::kAttemptTimeout, exchange.number);\n", ""),
 ]
 SUITES = [("own", "core_tests", "Core.*"), ("any order", "core_tests", "AnyOrder.*"),
-          ("any order, real module", "core_module_tests", "*"),
+          ("any order, real balancer", "core_module_tests", "*"),
           ("virtual time", "rehearsal_tests", "VirtualRun*:Shipped*:QuotaFaults.*")]
 
 
--- a/src/core/backend_table.h
+++ b/src/core/backend_table.h
@@ -1,6 +1,6 @@
-// Backends as listed, their drains, and the connections to them: which one an exchange takes, how it ends,
-// what is kept and what is closed. Pure: sockets are the driver's, time is told. Which backend gets a request
-// is the decision module's word alone.
+// Listed backends, their drains, and the connections to them: which connection an exchange gets, how the
+// exchange ends, and which connections are pooled or closed. Does no I/O and gets the time from its caller;
+// the choice of the backend for a request is the balancer's alone.
 #ifndef IVYGW_CORE_BACKEND_TABLE_H_
 #define IVYGW_CORE_BACKEND_TABLE_H_
 
@@ -17,24 +17,24 @@
 namespace ivygw::core {
 
 struct ConnectionLimits {
-  double idle_timeout_s = 0;  // the backends' own; 0: not told
+  double idle_timeout_s = 0;  // the backends' own; 0: unknown
   double connect_timeout_s = 0;
-  double drain_grace_s = 0;  // after which a draining backend gets nothing new
+  double drain_grace_s = 0;  // how long a draining backend may still get new requests
   size_t max_connections = 1;
 };
 
 struct ListedBackend {
   micadock::Backend backend;
-  uint64_t address = 0;  // the driver's word for it
+  uint64_t address = 0;  // a key chosen by the driver
 };
 
-// An attempt on a connection.
+// An attempt that has been given a connection.
 struct Exchange {
   uint64_t number = 0, connection = 0;
   uint32_t request = 0;
   int attempt = 0;
   uint32_t backend = 0;
-  double began = 0, give_up = 0;
+  double started_at = 0, deadline = 0;
 };
 struct ExchangeResult {
   Exchange exchange;
@@ -45,45 +45,49 @@
  public:
   explicit BackendTable(const ConnectionLimits& limits);
 
-  // The list as told: the changes, or the whole, from which what is absent has gone.
-  void TakeList(double now, bool whole, const std::vector<ListedBackend>& entries, Effects* out);
-  // Nothing new goes to the backend from now on, without the grace that discovery's word has.
-  void Bar(uint32_t backend, double now);
+  // Applies a list from discovery: changes only, or a full list, in which absent backends are gone.
+  void UpdateList(double now, bool full, const std::vector<ListedBackend>& entries, Effects* out);
+  // Ends the grace period of a draining backend: it gets no new requests from now on.
+  void EndDrainGrace(uint32_t backend, double now);
   bool MaySend(uint32_t backend, double now) const;
 
-  // Takes a kept connection, or opens one. Returns the exchange's number, or 0: nothing may be sent there, or
-  // all connections are in use. It ends once, by one of the events below or by Cancel.
-  uint64_t Begin(double now, uint32_t backend, uint32_t request, int attempt, double patience_s,
-                 TimerQueue* timers, Effects* out);
-  // Closes the exchange's connection at once; whether it may have run. None if it has ended already.
+  // Starts an exchange on an idle connection or on a new one. Returns its number, or 0 if the backend may not
+  // be sent requests or all connections are in use. The exchange ends once, by one of the events below or by
+  // Cancel.
+  uint64_t StartExchange(double now, uint32_t backend, uint32_t request, int attempt, double timeout_s,
+                         TimerQueue* timers, Effects* out);
+  // Closes the exchange's connection at once. Returns whether the request may have run, or nothing if the
+  // exchange has ended already.
   std::optional<bool> Cancel(uint64_t exchange, Effects* out);
 
-  // What happens to connections. Those that the book does not know (any more) change nothing.
+  // Events of connections. Those of unknown connections are ignored.
   std::optional<ExchangeResult> OnConnectionOpened(double now, uint64_t connection, Effects* out);
-  std::optional<ExchangeResult> OnConnectionLost(double now, uint64_t connection,
-                                                 Effects* out);  // also: could not connect
+  // Also reports a failed connect.
+  std::optional<ExchangeResult> OnConnectionLost(double now, uint64_t connection, Effects* out);
   std::optional<ExchangeResult> OnConnectionStale(double now, uint64_t connection, TimerQueue* timers,
                                                   Effects* out);
-  // Its last byte is out: from here on it may have run. False where the book knows of no such attempt.
+  // The last byte of the request is written: from now on it may have run. Returns false if no exchange on
+  // this connection is being written.
   bool OnRequestWritten(uint64_t connection);
-  // A whole answer. `keep`: the connection is fit for another.
+  // A complete response. `reusable`: the connection can carry another request.
   std::optional<ExchangeResult> OnResponse(double now, uint64_t connection, micadock::Result result,
-                                           bool keep, Effects* out);
-  std::optional<ExchangeResult> OnDue(double now, TimerKind due, uint64_t exchange,
-                                      Effects* out);  // kConnect or kPatience
-
-  uint32_t RequestOf(uint64_t connection) const;  // whose exchange is on it; 0: none
-  // A good answer has begun: patience no longer holds. Its exchange, or none where there is no such attempt.
-  std::optional<Exchange> Begin(uint64_t connection);
-  // The attempt is waited for until `give_up` and no longer: its request's time has begun.
-  void SetGiveUp(uint64_t exchange, double give_up, TimerQueue* timers);
-  bool HasBegun(uint64_t exchange) const;
-  bool IsOut(uint64_t exchange) const { return out_.count(exchange) != 0; }
+                                           bool reusable, Effects* out);
+  // `kind` is kConnectTimeout or kAttemptTimeout.
+  std::optional<ExchangeResult> OnTimeout(double now, TimerKind kind, uint64_t exchange, Effects* out);
+
+  uint32_t RequestOf(uint64_t connection) const;  // the request of its exchange; 0: none
+  // A successful response has started: the attempt's timeout no longer applies. Returns the exchange, or
+  // nothing if none on this connection waits for a response.
+  std::optional<Exchange> OnResponseStarted(uint64_t connection);
+  // Replaces the deadline of an exchange when the client's timeout starts.
+  void SetDeadline(uint64_t exchange, double deadline, TimerQueue* timers);
+  bool HasResponseStarted(uint64_t exchange) const;
+  bool IsInFlight(uint64_t exchange) const { return in_flight_.count(exchange) != 0; }
   bool IsConnecting(uint64_t exchange) const;
-  double NextIdle() const;  // when the next kept connection has been idle for long enough
-  void CloseIdle(double now, Effects* out);
+  double NextIdleTimeout() const;  // when the next idle connection has to be closed
+  void CloseExpiredIdle(double now, Effects* out);
 
-  // What is known of a backend, for a person to read.
+  // State of a backend, for diagnostics.
   struct Status {
     bool known = false, draining = false;
     size_t idle_connections = 0;
@@ -91,7 +95,7 @@
   Status GetStatus(uint32_t backend) const;
   size_t connections() const { return connections_.size(); }
   size_t idle() const { return idle_.size(); }
-  size_t in_flight() const { return out_.size(); }
+  size_t in_flight() const { return in_flight_.size(); }
   size_t backends() const { return backends_.size(); }
 
  private:
@@ -101,33 +105,33 @@
     uint64_t address = 0;
     State state = State::kConnecting;
     bool written = false;
-    bool begun = false;  // the answer has
+    bool response_started = false;
     Exchange exchange;
     double idle_since = 0;
-    std::list<uint64_t>::iterator idle_at;
+    std::list<uint64_t>::iterator idle_position;
   };
   struct Backend {
     uint64_t address = 0;
     bool draining = false;
-    double no_send_after = 0;    // of a draining one
-    std::vector<uint64_t> kept;  // idle; the most recently used last
+    double no_send_after = 0;    // of a draining backend
+    std::vector<uint64_t> idle;  // connections, the most recently used last
   };
 
-  void Ready(uint32_t backend, uint64_t address, Effects* out);
-  void Drain(uint32_t backend, double now, Effects* out);
+  void SetReady(uint32_t backend, uint64_t address, Effects* out);
+  void StartDrain(uint32_t backend, double now, Effects* out);
   void Remove(uint32_t backend, double now, Effects* out);
   Backend* Find(uint32_t backend);
-  // Gives the exchange a connection: 0 where none is to be had.
-  uint64_t Place(double now, const Exchange& exchange, TimerQueue* timers, Effects* out);
-  bool MakeRoom(Effects* out);
-  void Drop(uint64_t connection, Effects* out);  // closes it, whatever it does
-  ExchangeResult End(uint64_t connection, micadock::Result result, Effects* out);
+  // Gives the exchange a connection; returns 0 if none is available.
+  uint64_t AssignConnection(double now, const Exchange& exchange, TimerQueue* timers, Effects* out);
+  bool ReserveConnection(Effects* out);
+  void Discard(uint64_t connection, Effects* out);  // closes it in any state
+  ExchangeResult EndExchange(uint64_t connection, micadock::Result result, Effects* out);
 
   const ConnectionLimits limits_;
-  std::unordered_map<uint32_t, Backend> backends_;  // named by discovery and not gone
+  std::unordered_map<uint32_t, Backend> backends_;  // listed by discovery and not gone
   std::unordered_map<uint64_t, Connection> connections_;
-  std::unordered_map<uint64_t, uint64_t> out_;  // connections of exchanges that are out
-  std::list<uint64_t> idle_;                    // longest idle first
+  std::unordered_map<uint64_t, uint64_t> in_flight_;  // exchange to its connection
+  std::list<uint64_t> idle_;                          // longest idle first
   uint64_t last_connection_ = 0, last_exchange_ = 0;
 };
 
--- a/src/core/ban_table.h
+++ b/src/core/ban_table.h
@@ -1,7 +1,7 @@
-// Operators' bans over discovery's list: what the module and the book of connections are told of each
-// backend, whatever discovery says while a ban is in force. A banned backend drains; after the ban it is met
-// as one that has just started, since it may have been started again meanwhile and discovery tells that
-// seconds late. Pure.
+// Applies operators' bans to the backend list from discovery: computes the state of each backend that the
+// balancer and the backend table see, whatever discovery reports during a ban. A banned backend is draining.
+// After its ban it counts as just started, because it may have been restarted meanwhile and discovery reports
+// that seconds late. Does no I/O.
 #ifndef IVYGW_CORE_BAN_TABLE_H_
 #define IVYGW_CORE_BAN_TABLE_H_
 
@@ -16,22 +16,23 @@
 
 class BanTable {
  public:
-  // Discovery's word goes in, and what is to be told instead comes out, in the same order.
-  std::vector<ListedBackend> Told(bool whole, const std::vector<ListedBackend>& entries);
+  // Takes a list from discovery and returns its entries, in the same order, with bans applied. `full`:
+  // backends that are not in the list are gone.
+  std::vector<ListedBackend> ApplyList(bool full, const std::vector<ListedBackend>& entries);
 
-  // A ban begins or ends. What is to be told of the backend now; nothing where that has not changed (it is
-  // not listed, drains anyway, or the ban was or was not there before). A backend that was never listed may
-  // be banned too.
+  // Begin or end a ban. Return the backend's new state, or nothing if it hasn't changed: the backend is not
+  // listed, is draining anyway, or was already (or was not) banned. A backend that was never listed may be
+  // banned too.
   std::optional<ListedBackend> Ban(uint32_t backend, double now);
   std::optional<ListedBackend> Lift(uint32_t backend, double now);
 
-  bool Banned(uint32_t backend) const { return banned_.count(backend) != 0; }
-  size_t listed() const { return listed_.size(); }  // backends in discovery's list, draining ones too
-  size_t listed_and_banned() const;                 // of those that discovery would have used
+  bool IsBanned(uint32_t backend) const { return banned_.count(backend) != 0; }
+  size_t listed() const { return listed_.size(); }  // including draining backends
+  size_t listed_and_banned() const;                 // only backends that discovery lists as ready
 
  private:
-  std::unordered_map<uint32_t, ListedBackend> listed_;  // as discovery told last; none of them gone
-  std::unordered_map<uint32_t, double> banned_;         // with the time each began
+  std::unordered_map<uint32_t, ListedBackend> listed_;  // as last reported by discovery, without those gone
+  std::unordered_map<uint32_t, double> banned_;         // start time of each ban
 };
 
 }  // namespace ivygw::core
--- a/src/core/drain.h
+++ b/src/core/drain.h
@@ -1,6 +1,6 @@
-// The stages of a drain that operators begin and may end at any moment: at once the gateway is not ready and
-// asks its clients to close; for a while new ones still come, and from then on idle connections are closed.
-// Pure.
+// The stages of a drain that an operator starts and may end at any time. At once the gateway is not ready and
+// disables keep-alive for its clients; after a delay, in which new clients still connect, idle connections
+// are closed. Does no I/O.
 #ifndef IVYGW_CORE_DRAIN_H_
 #define IVYGW_CORE_DRAIN_H_
 
@@ -11,26 +11,26 @@
 
 class Drain {
  public:
-  // False if it was so before: a second call does not begin the drain anew.
+  // Both return false if nothing changes; a second Begin doesn't restart the delay.
   bool Begin(double now) {
     if (on()) return false;
-    closing_at_ = now + kDrainIdleCloseDelayS;
+    close_idle_at_ = now + kDrainIdleCloseDelayS;
     return true;
   }
   bool End() {
     if (!on()) return false;
-    closing_at_ = kNever;
+    close_idle_at_ = kNever;
     return true;
   }
-  bool on() const { return closing_at_ != kNever; }
-  bool closing(double now) const { return now >= closing_at_; }
+  bool on() const { return close_idle_at_ != kNever; }
+  bool closing_idle(double now) const { return now >= close_idle_at_; }
   double next(double now) const {
-    if (closing(now)) return kNever;
-    return closing_at_;
+    if (closing_idle(now)) return kNever;
+    return close_idle_at_;
   }
 
  private:
-  double closing_at_ = kNever;
+  double close_idle_at_ = kNever;
 };
 
 }  // namespace ivygw::core
--- a/src/core/driver.h
+++ b/src/core/driver.h
@@ -1,5 +1,5 @@
-// One event at a time: hands it to the core, runs its effects, and lets what comes meanwhile wait its turn.
-// What every driver of the core shares, whatever it drives.
+// Runs the core's event loop: passes one event at a time to the core, executes its effects, and queues the
+// events that arrive meanwhile. Shared by all drivers of the core, whatever transport they have.
 #ifndef IVYGW_CORE_DRIVER_H_
 #define IVYGW_CORE_DRIVER_H_
 
@@ -13,30 +13,30 @@
 
 namespace ivygw::core {
 
-// `Port` has `double Now()`, in the core's time; `Do(E&)` for each kind of effect; and `AfterTurn()`, run
-// when nothing waits any more, which is when it is known what is due next.
+// `Port` provides `double Now()` on the core's clock, `Execute(E&)` for each kind of effect, and
+// `AfterTurn()`, which is called when no event is queued any more and the next due time is known.
 template <typename Port>
 class Driver {
  public:
-  // Sees each event with its effects before they are run. The first, with no event: what the core asked for
-  // at its start.
+  // Observes each event with its effects before they are executed. The first call has no event, and the
+  // effects of the core's construction.
   using Tap = std::function<void(double now, const Event* event, const Effects& effects)>;
 
-  // The core's first effects are run with the first event.
+  // The effects of the core's construction are executed with those of the first event.
   Driver(Port* port, const CoreSettings& settings, Tap tap = nullptr) : port_(port), tap_(std::move(tap)) {
     double now = port->Now();
     core_.emplace(settings, now, &effects_);
     if (tap_) tap_(now, nullptr, effects_);
   }
 
-  // Now, or after what is running.
+  // Handles the event now, or after the one that is being handled.
   void Dispatch(Event event) {
-    if (running_) return later_.push_back(std::move(event));
+    if (running_) return queued_.push_back(std::move(event));
     running_ = true;
     Run(event);
-    while (!later_.empty()) {
-      Event next = std::move(later_.front());
-      later_.pop_front();
+    while (!queued_.empty()) {
+      Event next = std::move(queued_.front());
+      queued_.pop_front();
       Run(next);
     }
     running_ = false;
@@ -55,7 +55,7 @@
       tap_(now, &event,
            before == 0 ? effects_ : Effects(effects_.begin() + static_cast<long>(before), effects_.end()));
     for (Effect& effect : effects_) {
-      std::visit([this](auto& what) { port_->Execute(what); }, effect);
+      std::visit([this](auto& alternative) { port_->Execute(alternative); }, effect);
     }
     effects_.clear();
   }
@@ -63,7 +63,7 @@
   Port* port_;
   Tap tap_;
   Effects effects_;
-  std::deque<Event> later_;
+  std::deque<Event> queued_;
   bool running_ = false;
   std::optional<GatewayCore> core_;
 };
--- a/src/core/effects.h
+++ b/src/core/effects.h
@@ -1,5 +1,6 @@
-// What the gateway's core asks its driver to do: a closed set of plain structs, run in order once the core's
-// call has returned. No effect calls the core; what it brings about comes as an event of its own.
+// Effects of the gateway core: commands that the driver executes in order after the core's call has returned.
+// Executing an effect never calls the core; its result is reported later as an event. The order of the
+// variant's alternatives and of the fields is part of the trace format.
 #ifndef IVYGW_CORE_EFFECTS_H_
 #define IVYGW_CORE_EFFECTS_H_
 
@@ -10,44 +11,44 @@
 
 namespace ivygw::core {
 
-// The request that has just come from `client` is held under this number.
+// Assigns the number `request` to the request that has just arrived from `client`.
 struct RegisterRequest {
   uint32_t request = 0;
   uint64_t client = 0;
 };
-// The one final answer to `client`. With status 200 it is what the exchange on `connection`, told of last,
-// brought.
+// Sends the only final response to `client`. With status 200 it is the response that the last event reported
+// on `connection`.
 struct SendResponse {
   uint64_t client = 0;
   uint32_t request = 0;
-  int status = 0;            // 200, 429 or 503 (refused), 502 (given up), 503 or 504 (its time is up)
+  int status = 0;            // 200; 429 or 503: refused; 502: failed; 503 or 504: timed out
   double retry_after_s = 0;  // 0: none
   uint64_t connection = 0;   // 0: none
 };
-// The one final answer to `client` begins: it is what the exchange on `connection` brings, from what it has
-// brought on.
+// Starts streaming the only final response to `client` from `connection`, including what has been read of it.
 struct StartResponse {
   uint64_t client = 0;
   uint32_t request = 0;
   uint64_t connection = 0;
 };
-// That answer can't be finished: its client must be able to tell that it is not whole.
+// Aborts a streamed response so that the client can tell that it is incomplete.
 struct AbortResponse {
   uint64_t client = 0;
   uint32_t request = 0;
 };
-// Nothing of the request is open any more: what the driver keeps of it (its body) is of no further use.
+// Nothing of the request is open any more: the driver may free its body.
 struct ReleaseRequest {
   uint32_t request = 0;
 };
 
-// To a backend. `address` is the driver's own word for where it listens.
+// Opens a connection to a backend at `address`, a key chosen by the driver.
 struct OpenConnection {
   uint64_t connection = 0;
   uint64_t address = 0;
 };
-// The whole request, to be told that it is waited for `timeout_s`. On a `kept` connection the driver looks
-// first whether the backend has ended it, and tells of it (`OnStale`) instead of writing.
+// Writes the whole request, with `timeout_s` as the time that the backend has for it. On a `reused`
+// connection the driver first checks whether the backend has closed it, and reports ConnectionStale instead
+// of writing.
 struct WriteRequest {
   uint64_t connection = 0;
   uint32_t request = 0;
@@ -59,23 +60,23 @@
   uint64_t connection = 0;
 };
 
-// A call to the shared counter: adds `amount` to `name`, which lives for `ttl_s`.
+// Calls the shared counter: adds `amount` to the key `name`, which expires after `ttl_s`.
 struct CallCounter {
   uint64_t call = 0, name = 0;
   double amount = 0, ttl_s = 0;
 };
-// The call has been told as never added: it must not go out any more.
+// The call has been reported as not added and must not be sent any more.
 struct CancelCounterCall {
   uint64_t call = 0;
 };
 
-// Of a recorded request: an attempt is to be made durable, and waits for IntentTold.
+// Makes the intent of an attempt durable; the attempt waits for IntentResolved.
 struct RecordIntent {
   uint32_t request = 0;
   int attempt = 0;
   uint32_t backend = 0;
 };
-// What came of one that was.
+// Records the end of an attempt of a recorded request.
 struct RecordAttemptEnd {
   uint32_t request = 0;
   int attempt = 0;
@@ -85,12 +86,12 @@
 struct Log {
   std::string text;
 };
-struct SubscribeToDiscovery {};        // discovery is to be followed
-struct DisableClientKeepAlive {};      // from now on each answer ends its connection
-struct EnableClientKeepAlive {};       // AskClientsToClose no longer holds
-struct CloseIdleClientConnections {};  // connections on which nothing has begun
-struct StopIfIdle {};                  // end the program if no client is connected or waits to be
-struct Stop {};                        // end the program
+struct SubscribeToDiscovery {};        // follow the discovery service
+struct DisableClientKeepAlive {};      // each further response closes its client's connection
+struct EnableClientKeepAlive {};       // ends DisableClientKeepAlive
+struct CloseIdleClientConnections {};  // close connections on which no request has begun
+struct StopIfIdle {};                  // exit if no client is connected or waiting to connect
+struct Stop {};                        // exit
 
 using Effect =
     std::variant<RegisterRequest, SendResponse, ReleaseRequest, OpenConnection, WriteRequest, CloseConnection,
--- a/src/core/events.h
+++ b/src/core/events.h
@@ -1,5 +1,6 @@
-// What a driver tells the core: the events of GatewayCore as data, so that they can wait, be recorded and be
-// played again. Each stands for the method of GatewayCore with its fields.
+// Events of the gateway core: plain structs that a driver passes to GatewayCore::Handle. They can be queued,
+// recorded and replayed; the order of the variant's alternatives and of the fields is part of the trace
+// format.
 #ifndef IVYGW_CORE_EVENTS_H_
 #define IVYGW_CORE_EVENTS_H_
 
@@ -13,42 +14,47 @@
 
 namespace ivygw::core {
 
-// A sound request of a client.
+// A valid request of a client.
 struct RequestArrived {
-  uint64_t client = 0;  // the driver's word for whom to answer; one request at a time
-  std::string id;       // the client's; not open (IsOpen)
+  uint64_t client = 0;  // chosen by the driver; a client has one request at a time
+  std::string id;       // chosen by the client; must not be open (GatewayCore::IsOpen)
   int cls = 0, plan = 0;
   uint64_t customer = 0;
   double units = 0, entries = 1;
-  double timeout_s = 0;  // for which the client waits: from now on, or from its body's end
-  double body_s = 0;     // for which its body may still come; 0: it is whole
-  // A work whose attempts are made durable before their first byte: each is asked for by Intend and waits for
-  // IntentTold.
+  double timeout_s = 0;  // the client's timeout, which starts now or when the body is complete
+  double body_s = 0;     // how long the body may still take to arrive; 0 if it is complete
+  // Each attempt must be made durable before its first byte is sent: the core asks with RecordIntent and
+  // waits for IntentResolved.
   bool recorded = false;
-  // One that another gateway had begun, and what was tried there.
+  // Set for a request taken over from another gateway, with what is known of its attempts there.
   bool resumed = false, may_have_run = false;
-  double ran_age_s = 0;  // since the first attempt that may have run
+  double ran_age_s = 0;  // time since the first attempt that may have run
   int ran_zone = 0, ran_cell = 0;
 };
-struct ClientDisconnected {  // its connection has ended, held or not
+// The client's connection has ended, whether or not a request of it is open.
+struct ClientDisconnected {
   uint64_t client = 0;
 };
 struct ConnectionOpened {
   uint64_t connection = 0;
 };
-struct RequestWritten {  // the message's last byte is out
+// The last byte of the request has been written.
+struct RequestWritten {
   uint64_t connection = 0;
 };
+// A complete response has been read.
 struct ResponseReceived {
   uint64_t connection = 0;
   micadock::Result result = micadock::Result::kOk;
   double true_units = 0;
-  bool reusable = false;
+  bool reusable = false;  // the connection can carry another request
 };
-struct ConnectionLost {  // refused, reset, ended, spoilt
+// The connection was refused, reset or closed, or its framing is broken.
+struct ConnectionLost {
   uint64_t connection = 0;
 };
-struct ConnectionStale {  // a kept one had ended before it was written to
+// The backend had closed a pooled connection before the request was written to it.
+struct ConnectionStale {
   uint64_t connection = 0;
 };
 struct BackendListUpdated {
@@ -69,47 +75,52 @@
 };
 struct TimerExpired {};
 struct ShutdownRequested {};
-// Operators' words.
-struct BackendBanChanged {  // a backend is to be left out, or put back
+// An operator bans a backend or lifts its ban.
+struct BackendBanChanged {
   uint32_t backend = 0;
   bool banned = false;
 };
-// Of requests and answers that are not whole at once.
-struct BodyDiscarded {  // the request's body is no longer held from its beginning: it can't be sent again
+// The start of the request's body is no longer buffered, so the request can't be sent again.
+struct BodyDiscarded {
   uint32_t request = 0;
 };
-struct BodyCompleted {  // the request's body is whole: its time begins
+// The request's body is complete: the client's timeout starts.
+struct BodyCompleted {
   uint32_t request = 0;
 };
-struct LearnedStateRestored {  // what the process before had learned of the backends
+// What the previous process of this gateway had learned about the backends.
+struct LearnedStateRestored {
   micadock::Learned learned;
 };
-struct ResponseStarted {  // a good answer that goes to its client as it comes; Answered or Lost follows
+// A successful response has started and is streamed to the client; ResponseReceived or ConnectionLost
+// follows.
+struct ResponseStarted {
   uint64_t connection = 0;
 };
-struct DrainChanged {  // the gateway is to be emptied, or goes back to work
+// An operator starts or ends the gateway's drain.
+struct DrainChanged {
   bool on = false;
 };
 
-// Of works that outlive their gateway.
-struct IntentResolved {  // the attempt is durable, or must not be made
+// The attempt's intent is durable (`ok`), or the attempt must not be made.
+struct IntentResolved {
   uint32_t request = 0;
   int attempt = 0;
   bool ok = false;
 };
-struct RequestWithdrawn {  // the client's request is another gateway's now, or has been answered: nothing is
-                           // sent or
-                           // said here
+// The client's request now belongs to another gateway or has been answered: this one sends nothing more to
+// backends or to the client.
+struct RequestWithdrawn {
   uint64_t client = 0;
 };
-// Of the fleet: how many gateways there are, and whether this one is counted among them.
+// The number of gateways in the fleet, and whether this one is among them.
 struct FleetSizeChanged {
   int gateways = 0;
   bool counted = true;
 };
 
-// A share of a customer's lent ceiling is this gateway's for so many seconds from now, in place of the one
-// before.
+// Grants this gateway a share of a customer's lent ceiling for `seconds` from now, replacing the previous
+// grant.
 struct QuotaShareGranted {
   uint64_t customer = 0;
   double share = 0, seconds = 0;
--- a/src/core/gateway_core.h
+++ b/src/core/gateway_core.h
@@ -1,11 +1,13 @@
-// The gateway without I/O: events with the time go in, effects come out, in order; the same events give the
-// same effects. No sockets, no threads, no clock of its own. The only caller of the decision module: it keeps
-// the books round the module and decides nothing about servers, retries or quotas.
+// The gateway's state machine without I/O: events with a timestamp go in, effects come out in order, and the
+// same events give the same effects. It has no sockets, threads or clock. It is the only caller of the
+// balancer (policy/balance.h): it keeps track of requests and connections, and leaves every decision about
+// backends, retries and quotas to the balancer.
 //
-// A driver (sockets, virtual time, a trace) calls one event at a time and then runs the effects, in order.
-// `now` is in seconds of the module's clock, the same at every gateway as far as machines agree; it must not
-// go back, and where it does, nothing is due until it has caught up. Events about connections, calls or
-// clients that the core no longer knows change nothing, however late or often they come.
+// A driver (sockets, virtual time, a recorded trace) passes one event at a time and then executes the effects
+// in order. `now` is in seconds on the balancer's clock, which all gateways share as far as their machines'
+// clocks agree. It must not go back; if it does, nothing is due until it has caught up. Events about
+// connections, calls or clients that the core doesn't know (any more) are ignored, however late or often they
+// come.
 #ifndef IVYGW_CORE_GATEWAY_CORE_H_
 #define IVYGW_CORE_GATEWAY_CORE_H_
 
@@ -30,7 +32,7 @@
 namespace ivygw::core {
 
 struct CoreSettings {
-  micadock::Settings module;
+  micadock::Settings policy;
   ConnectionLimits connections;
   uint64_t seed = 0;
   bool has_counter = false;
@@ -41,31 +43,29 @@
   GatewayCore(const CoreSettings& settings, double now, Effects* out);
   ~GatewayCore();
 
-  void Handle(double now, const Event& event, Effects* out);  // any of the events below
+  void Handle(double now, const Event& event, Effects* out);  // calls the method for the event
 
-  // Clients. OnRequest returns the request's number, the same as in Hold, its first effect.
+  // Clients. OnRequest returns the request's number, which its first effect, RegisterRequest, has too.
   bool IsOpen(const std::string& id) const { return requests_.IsOpen(id); }
   uint32_t OnRequest(double now, const RequestArrived& arrival, Effects* out);
-  void OnClientDisconnected(double now, uint64_t client,
-                            Effects* out);  // its connection has ended, held or not
+  void OnClientDisconnected(double now, uint64_t client, Effects* out);
 
-  // Connections to backends, by the numbers in Connect.
+  // Connections to backends, by the numbers in OpenConnection.
   void OnConnectionOpened(double now, uint64_t connection, Effects* out);
-  void OnRequestWritten(double now, uint64_t connection, Effects* out);  // the message's last byte is out
-  void OnResponse(double now, uint64_t connection, micadock::Result result, double true_units, bool keep,
+  void OnRequestWritten(double now, uint64_t connection, Effects* out);
+  void OnResponse(double now, uint64_t connection, micadock::Result result, double true_units, bool reusable,
                   Effects* out);
-  void OnConnectionLost(double now, uint64_t connection, Effects* out);  // refused, reset, ended, spoilt
-  void OnConnectionStale(double now, uint64_t connection,
-                         Effects* out);  // a kept one had ended before it was written to
+  void OnConnectionLost(double now, uint64_t connection, Effects* out);
+  void OnConnectionStale(double now, uint64_t connection, Effects* out);
 
-  // Bodies that are not whole at once. A request whose body has gone, in part, is sent no second time; its
-  // time begins when the body is whole. A begun answer is the request's final one: it ends with OnAnswer or
-  // OnLost.
+  // Streamed bodies. A request whose body is no longer buffered from its start is not retried; its timeout
+  // starts when the body is complete. A streamed response is the request's final one and ends with OnResponse
+  // or OnConnectionLost.
   void OnBodyDiscarded(uint32_t request);
   void OnBodyCompleted(double now, uint32_t request, Effects* out);
   void OnResponseStarted(double now, uint64_t connection, Effects* out);
 
-  // Works that outlive their gateway, and the fleet.
+  // Recorded requests, which another gateway can take over, and the fleet.
   void OnIntentResolved(double now, uint32_t request, int attempt, bool ok, Effects* out);
   void OnRequestWithdrawn(double now, uint64_t client, Effects* out);
   void OnFleetSizeChanged(int gateways, bool counted) { balancer_->OnFleet(gateways, counted); }
@@ -75,31 +75,31 @@
                      Effects* out);
   void OnDiscoveryFailed(double now, Effects* out);
 
-  // The counter, by the numbers in Count.
-  void OnCounterCallWritten(uint64_t call) { counts_.OnWritten(call); }
+  // The counter, by the numbers in CallCounter.
+  void OnCounterCallWritten(uint64_t call) { counter_calls_.OnWritten(call); }
   void OnCounterResponse(double now, uint64_t call, micadock::Result result, double total, Effects* out);
   void OnCounterCallLost(double now, uint64_t call, Effects* out);
 
-  // Time. OnTime is to be called at NextDue or soon after; called early, it does nothing. NextDue changes
-  // nothing that an event could notice: it only forgets what has become void.
+  // Timers. OnTimerExpired has to be called at NextDue or soon after; an early call does nothing. NextDue
+  // only drops obsolete timers, which no event can observe.
   double NextDue(double now);
   void OnTimerExpired(double now, Effects* out);
 
-  // The planned end: Stop or StopIfQuiet follow.
+  // Starts a graceful shutdown; Stop or StopIfIdle follow.
   void BeginShutdown(double now, Effects* out);
   bool ready() const { return accepting() && !shutdown_.begun(); }
 
-  // Operators. A ban is a drain without grace, of a backend that need not be listed; the end of one is one
-  // call, however often it was called out. A drain of the gateway: it is not ready, and empties itself.
-  void OnBanChanged(double now, uint32_t backend, bool out_of_use, Effects* out);
+  // Operators. A ban is a drain without grace period, and the backend need not be listed; bans don't nest. A
+  // drain of the gateway makes it not ready and lets it finish its connections.
+  void OnBanChanged(double now, uint32_t backend, bool banned, Effects* out);
   void OnDrainChanged(double now, bool on, Effects* out);
-  bool serving() const { return ready_; }                    // can serve, whether or not it is to
-  bool accepting() const { return ready_ && !drain_.on(); }  // ready but for a planned end
+  bool serving() const { return ready_; }                    // able to serve, also during a drain or shutdown
+  bool accepting() const { return ready_ && !drain_.on(); }  // ready, unless a shutdown has begun
   bool draining() const { return drain_.on(); }
   const Stats& stats() const { return stats_; }
-  // Listed backends that are not used now: banned, or set aside by the module.
+  // The number of listed backends that are not used now: banned, or set aside by the balancer.
   size_t UnavailableBackends(double now) const;
-  // An upgrade: what this gateway's module has learned of the backends, and what another process of it had.
+  // Upgrades: what the balancer has learned of the backends, to be restored in the next process.
   micadock::Learned LearnedState(double now) const { return balancer_->Remember(now); }
   void OnLearnedStateRestored(double now, const micadock::Learned& learned) {
     balancer_->Recall(now, learned);
@@ -108,49 +108,51 @@
   const BanTable& bans() const { return bans_; }
   const RequestTable& requests() const { return requests_; }
   const BackendTable& backends() const { return backends_; }
-  const CounterCallTable& counter_calls() const { return counts_; }
+  const CounterCallTable& counter_calls() const { return counter_calls_; }
   size_t timers() const { return timers_.size(); }
 
  private:
-  // An outcome that the core knows of by itself, told after the module's call has returned.
-  struct Told {
+  // An outcome that an action of the balancer caused at once; reported after the balancer's call has
+  // returned.
+  struct DeferredOutcome {
     uint32_t request = 0;
     int attempt = 0;
     micadock::Result result = micadock::Result::kNeverSent;
   };
 
   template <typename Call>
-  void Tell(double now, Effects* out, Call call);
-  void TellList(double now, micadock::ListKind kind, const std::vector<ListedBackend>& entries, Effects* out);
-  void Act(double now, micadock::Action& action, Effects* out);
-  void Send(double now, const micadock::Action& action, Effects* out);
-  // The attempt goes to its backend now; false where it can't.
-  micadock::Result Place(double now, uint32_t request, int attempt, double patience_s, Effects* out);
-  void Cancel(const micadock::Action& action, Effects* out);
-  void Ended(double now, const std::optional<ExchangeResult>& end, double true_units, Effects* out);
-  void Outcome(double now, uint32_t request, int attempt, micadock::Result result, double true_units,
-               uint64_t connection, Effects* out);
-  void Counted(double now, const std::optional<micadock::CountAnswer>& answer, Effects* out);
-  void Finish(uint32_t request, int status, double retry_after_s, uint64_t connection, Effects* out);
-  void ForgetIfOver(uint32_t request, Effects* out);
-  void Guard(double now, uint32_t request, Effects* out);
-  bool Void(const TimerQueue::Timer& timer) const;  // what it was for has ended
-  void Settle(double now, Effects* out);            // the end of every event
+  void CallBalancer(double now, Effects* out, Call call);
+  void ApplyList(double now, micadock::ListKind kind, const std::vector<ListedBackend>& entries,
+                 Effects* out);
+  void ExecuteAction(double now, micadock::Action& action, Effects* out);
+  void StartAttempt(double now, const micadock::Action& action, Effects* out);
+  // Starts the attempt's exchange. Returns kOk, or why it can't be sent.
+  micadock::Result SendAttempt(double now, uint32_t request, int attempt, double timeout_s, Effects* out);
+  void CancelAttempt(const micadock::Action& action, Effects* out);
+  void OnExchangeEnd(double now, const std::optional<ExchangeResult>& end, double true_units, Effects* out);
+  void ReportOutcome(double now, uint32_t request, int attempt, micadock::Result result, double true_units,
+                     uint64_t connection, Effects* out);
+  void ReportCounterResult(double now, const std::optional<micadock::CountAnswer>& answer, Effects* out);
+  void Respond(uint32_t request, int status, double retry_after_s, uint64_t connection, Effects* out);
+  void ReleaseIfFinished(uint32_t request, Effects* out);
+  void OnRequestDeadline(double now, uint32_t request, Effects* out);
+  bool IsObsolete(const TimerQueue::Timer& timer) const;  // what it was for has ended
+  void FinishEvent(double now, Effects* out);             // called at the end of every event
 
   const CoreSettings settings_;
   RequestTable requests_;
   BackendTable backends_;
   BanTable bans_;
   Stats stats_;
-  CounterCallTable counts_;
+  CounterCallTable counter_calls_;
   TimerQueue timers_;
   Shutdown shutdown_;
   Drain drain_;
-  std::deque<Told> told_;
-  std::deque<uint64_t> uncounted_;  // names of calls made where there is no counter
-  uint32_t reporting_ = 0;          // the request of which an outcome is being told
+  std::deque<DeferredOutcome> deferred_outcomes_;
+  std::deque<uint64_t> unsent_counter_calls_;  // names of calls made without a counter
+  uint32_t reporting_ = 0;                     // the request whose outcome is being reported
   bool ready_ = false;
-  micadock::Actions actions_, acting_;
+  micadock::Actions actions_, executing_;
   std::optional<micadock::Balancer> balancer_;
 };
 
--- a/src/core/shutdown.h
+++ b/src/core/shutdown.h
@@ -1,5 +1,5 @@
-// The stages of a planned end: clients go on coming for a while, then kept connections are closed, then what
-// is held is finished, within a bound. Pure.
+// The stages of a graceful shutdown: clients may still connect for a while, then idle connections are closed,
+// then open requests may finish until a time limit. Does no I/O.
 #ifndef IVYGW_CORE_SHUTDOWN_H_
 #define IVYGW_CORE_SHUTDOWN_H_
 
@@ -10,22 +10,23 @@
 
 class Shutdown {
  public:
-  // False if it has begun before. `longest_s`: the longest that a request may be held.
-  bool Begin(double now, double longest_s) {
+  // Returns false if the shutdown has already begun. `max_request_s` is the longest that a request may stay
+  // open.
+  bool Begin(double now, double max_request_s) {
     if (begun()) return false;
-    closing_at_ = now + kShutdownIdleCloseDelayS;
-    over_at_ = now + longest_s + kShutdownMarginS;
+    close_idle_at_ = now + kShutdownIdleCloseDelayS;
+    stop_at_ = now + max_request_s + kShutdownMarginS;
     return true;
   }
-  bool begun() const { return closing_at_ != kNever; }
-  bool closing(double now) const { return now >= closing_at_; }  // clients no longer come
-  // Whether a request that is held until `deadline` may be cut off by the end.
-  bool CutsOff(double deadline) const { return begun() && deadline > over_at_; }
-  bool over(double now) const { return now >= over_at_; }  // the time for what is held is over too
-  double next(double now) const { return closing(now) ? over_at_ : closing_at_; }
+  bool begun() const { return close_idle_at_ != kNever; }
+  bool closing_idle(double now) const { return now >= close_idle_at_; }  // clients no longer connect
+  // Whether the end of the shutdown may cut off a request with this deadline.
+  bool CutsOff(double deadline) const { return begun() && deadline > stop_at_; }
+  bool expired(double now) const { return now >= stop_at_; }  // open requests get no more time
+  double next(double now) const { return closing_idle(now) ? stop_at_ : close_idle_at_; }
 
  private:
-  double closing_at_ = kNever, over_at_ = kNever;
+  double close_idle_at_ = kNever, stop_at_ = kNever;
 };
 
 }  // namespace ivygw::core
--- a/src/core/stats.h
+++ b/src/core/stats.h
@@ -1,4 +1,4 @@
-// What the gateway has done since it started, counted where it is done. Pure.
+// Counters of what the gateway has done since its start. Does no I/O.
 #ifndef IVYGW_CORE_STATS_H_
 #define IVYGW_CORE_STATS_H_
 
@@ -7,16 +7,17 @@
 
 namespace ivygw::core {
 
+// Answered requests of one class: served, refused, and all others.
 struct ClassStats {
-  uint64_t success = 0, busy = 0, failure = 0;  // requests answered: served, refused, otherwise
+  uint64_t success = 0, busy = 0, failure = 0;
 };
 
 struct Stats {
-  std::vector<ClassStats> classes;  // as the settings name them
-  uint64_t backend_calls = 0;       // attempts of which the last byte was written
+  std::vector<ClassStats> classes;  // in the order of the settings
+  uint64_t backend_calls = 0;       // attempts whose last byte was written
 
-  // The one final answer to a request of that class. What its client abandoned is not counted.
-  void Answered(int cls, int status) {
+  // Counts a final response. Requests that their client abandoned are not counted.
+  void CountResponse(int cls, int status) {
     ClassStats& c = classes.at(static_cast<size_t>(cls));
     ++(status == 200 ? c.success : status == 429 || status == 503 ? c.busy : c.failure);
   }
--- a/src/core/timer_queue.h
+++ b/src/core/timer_queue.h
@@ -1,5 +1,5 @@
-// Due times in order. There is no way to take one back: the owner passes over what has become void, which is
-// cheaper than a search.
+// A queue of timers ordered by due time. Timers are not cancelled: the owner skips those that are obsolete,
+// which is cheaper than searching the queue.
 #ifndef IVYGW_CORE_TIMER_QUEUE_H_
 #define IVYGW_CORE_TIMER_QUEUE_H_
 
@@ -13,45 +13,51 @@
 
 inline constexpr double kNever = std::numeric_limits<double>::infinity();
 
-enum class TimerKind : uint8_t { kModule, kGuard, kConnect, kPatience, kCount };
+enum class TimerKind : uint8_t {
+  kBalancer,
+  kRequestDeadline,
+  kConnectTimeout,
+  kAttemptTimeout,
+  kCounterCallTimeout
+};
 
 class TimerQueue {
  public:
   struct Timer {
     double at;
-    uint64_t number;  // those of one time are due in the order in which they were added
-    TimerKind due;
-    uint64_t tag;
+    uint64_t sequence;  // orders timers of the same due time by their insertion
+    TimerKind kind;
+    uint64_t id;  // of what the timer is for, depending on `kind`
     bool operator>(const Timer& other) const {
-      return at != other.at ? at > other.at : number > other.number;
+      return at != other.at ? at > other.at : sequence > other.sequence;
     }
   };
 
-  void Add(double at, TimerKind due, uint64_t tag) { waiting_.push({at, ++last_, due, tag}); }
-  // Takes away from the front what `is_void` says can bring nothing about any more, so that nobody wakes for
-  // it.
-  template <typename IsVoid>
-  void Prune(IsVoid is_void) {
-    while (!waiting_.empty() && is_void(waiting_.top())) waiting_.pop();
+  void Add(double at, TimerKind kind, uint64_t id) { timers_.push({at, ++last_sequence_, kind, id}); }
+  // Removes obsolete timers from the front, so that the driver doesn't wake up for them.
+  template <typename IsObsolete>
+  void Prune(IsObsolete is_obsolete) {
+    while (!timers_.empty() && is_obsolete(timers_.top())) timers_.pop();
   }
   double next() const {
-    if (waiting_.empty()) return kNever;
-    return waiting_.top().at;
+    if (timers_.empty()) return kNever;
+    return timers_.top().at;
   }
-  size_t size() const { return waiting_.size(); }
-  // All that is due at `now`; what is added meanwhile waits for the next turn.
-  std::vector<Timer> Take(double now) {
-    std::vector<Timer> due;
-    while (!waiting_.empty() && waiting_.top().at <= now) {
-      due.push_back(waiting_.top());
-      waiting_.pop();
+  size_t size() const { return timers_.size(); }
+  // Removes and returns the timers that are due at `now`. Those added while they are handled wait for the
+  // next call.
+  std::vector<Timer> TakeExpired(double now) {
+    std::vector<Timer> expired;
+    while (!timers_.empty() && timers_.top().at <= now) {
+      expired.push_back(timers_.top());
+      timers_.pop();
     }
-    return due;
+    return expired;
   }
 
  private:
-  std::priority_queue<Timer, std::vector<Timer>, std::greater<>> waiting_;
-  uint64_t last_ = 0;
+  std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
+  uint64_t last_sequence_ = 0;
 };
 
 }  // namespace ivygw::core
--- a/src/gateway/core_settings.cpp
+++ b/src/gateway/core_settings.cpp
@@ -31,7 +31,7 @@
 
 core::CoreSettings CoreSettingsOf(const Config& config) {
   core::CoreSettings settings;
-  settings.module = config.settings;
+  settings.policy = config.settings;
   settings.connections.idle_timeout_s = config.site.conn_idle_s;
   settings.connections.connect_timeout_s = config.site.connect_timeout_s;
   settings.connections.drain_grace_s = config.site.drain_grace_s;
--- a/tests/core/fuzz_core.cpp
+++ b/tests/core/fuzz_core.cpp
@@ -1,16 +1,16 @@
-// A libFuzzer target: the core round the real module, driven by the bytes.
+// A libFuzzer target: the core with the real balancer, driven by the fuzzer's bytes.
 #include <cstdio>
 #include <cstdlib>
 
-#include "core/core_watch.h"
+#include "core/core_harness.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* bytes, size_t size) {
-  ivygw::core::CoreSettings settings = ivygw::core::WatchedSite();
-  settings.module.plans[0].rate = 20;
-  settings.module.plans[0].burst = 40;
-  ivygw::core::CoreWatch watch(settings, true);
-  watch.Play(bytes, size);
-  if (watch.broken().empty()) return 0;
-  std::fprintf(stderr, "%s\n", watch.broken().c_str());
+  ivygw::core::CoreSettings settings = ivygw::core::HarnessSettings();
+  settings.policy.plans[0].rate = 20;
+  settings.policy.plans[0].burst = 40;
+  ivygw::core::CoreHarness harness(settings, true);
+  harness.Run(bytes, size);
+  if (harness.violation().empty()) return 0;
+  std::fprintf(stderr, "%s\n", harness.violation().c_str());
   std::abort();
 }
--- a/tests/core/hooked_balancer.h
+++ b/tests/core/hooked_balancer.h
@@ -1,4 +1,4 @@
-// A module in the real one's place that does what the test says, for the core's own tests.
+// A Balancer that replaces the real one in the core's tests and is scripted by callbacks.
 #ifndef IVYGW_TESTS_CORE_HOOKED_BALANCER_H_
 #define IVYGW_TESTS_CORE_HOOKED_BALANCER_H_
 
@@ -9,7 +9,7 @@
 
 namespace micadock {
 
-// Left empty, an event brings no action. Reset by each test that uses it.
+// An empty callback takes no action. Each test that sets callbacks resets them.
 struct BalancerHooks {
   std::function<void(const Request&, Actions*)> on_request;
   std::function<void(const Outcome&, Actions*)> on_outcome;
@@ -19,15 +19,15 @@
 };
 inline BalancerHooks hooks;
 
-inline Action Send(uint32_t request, uint32_t backend, double patience_s = 0) {
+inline Action MakeSend(uint32_t request, uint32_t backend, double timeout_s = 0) {
   Action a;
   a.kind = ActionKind::kSend;
   a.request = request;
   a.backend = backend;
-  a.seconds = patience_s;
+  a.seconds = timeout_s;
   return a;
 }
-inline Action Of(ActionKind kind, uint32_t request, int attempt = 0, double seconds = 0) {
+inline Action MakeAction(ActionKind kind, uint32_t request, int attempt = 0, double seconds = 0) {
   Action a;
   a.kind = kind;
   a.request = request;
@@ -35,7 +35,7 @@
   a.seconds = seconds;
   return a;
 }
-inline Action CountUnits(uint64_t name, double amount) {
+inline Action MakeCount(uint64_t name, double amount) {
   Action a;
   a.kind = ActionKind::kCount;
   a.tag = name;
--- a/tests/trace/trace_test.cpp
+++ b/tests/trace/trace_test.cpp
@@ -280,10 +280,10 @@
 class Replayed : public testing::Test {
  protected:
   Replayed() {
-    settings.module = micadock::Site();
-    settings.module.count_timeout_s = 0.02;
-    settings.module.plans[0].rate = 40;
-    settings.module.plans[0].burst = 80;
+    settings.policy = micadock::Site();
+    settings.policy.count_timeout_s = 0.02;
+    settings.policy.plans[0].rate = 40;
+    settings.policy.plans[0].burst = 80;
     settings.connections = {2, 0.2, 0.5, 50};
     settings.has_counter = true;
     Port port;
@@ -337,7 +337,7 @@
 TEST_F(Replayed, TellsTheFirstEffectThatDiffers) {
   // Another grace, patience or number of tries: what the module and the books do from there on differs.
   core::CoreSettings other = settings;
-  other.module.try_limit = 1;
+  other.policy.try_limit = 1;
   Replay replay(other);
   auto difference = replay.Play(turns);
   ASSERT_TRUE(difference);
