--- a/bench/ledger_mutations.py
+++ b/bench/ledger_mutations.py
@@ -3,7 +3,7 @@
 notice: its own, the exhaustive search, or many gateways in virtual time. Usage: bench/ledger_mutations.py [--jobs N]"""
 import core_mutations
 
-BOOK, DESK, CORE, POLICY = "src/ledger/book.cpp", "src/fleet/desk.cpp", "src/core/gateway_core.cpp", "src/policy/balance.cpp"
+BOOK, DESK, CORE, POLICY = "src/ledger/book.cpp", "src/fleet/node_agent.cpp", "src/core/gateway_core.cpp", "src/policy/balance.cpp"
 MUTATIONS = [
     ("sent before its intent is durable", BOOK,
      "  SendFor(now, w, Phase::kIntending, shared::Commit(std::move(batch)), out);\n}",
--- a/src/fleet/node.cpp
+++ b/src/fleet/node.cpp
@@ -8,7 +8,7 @@
 #include <utility>
 
 #include "base/dice.h"
-#include "fleet/desk.h"
+#include "fleet/node_agent.h"
 #include "net/address.h"
 #include "net/clock.h"
 #include "net/mailbox.h"
@@ -19,16 +19,16 @@
 namespace ivygw::fleet {
 namespace {
 
-constexpr double kTickS = 1e-4;  // past a due time
+constexpr double kTimerMarginS = 1e-4;  // past a due time
 
 // Goes on while the machine sleeps, and nobody sets it.
-double Monotonic() {
+double MonotonicSeconds() {
   timespec now{};
   clock_gettime(CLOCK_BOOTTIME, &now);
   return static_cast<double>(now.tv_sec) + static_cast<double>(now.tv_nsec) * 1e-9;
 }
 
-std::string NewBoot() {
+std::string NewBootId() {
   std::random_device draw;
   char text[25];
   std::snprintf(text, sizeof(text), "%08x%08x%08x", draw(), draw(), draw());
@@ -37,20 +37,20 @@
 
 // `mailbox` outlives it.
 std::unique_ptr<shared::Engine> MakeEngine(asio::io_context& io, Mailbox* mailbox, const Settings& s) {
-  if (s.kind == Settings::Kind::kRedis) {
+  if (s.engine == Settings::Engine::kRedis) {
     shared::RedisOptions options;
     options.address = ParseAddress("fleet.address", s.address);
     options.username = s.username;
     options.password = s.password;
     options.database = s.database;
     options.prefix = s.prefix;
-    options.generation = NewBoot();
+    options.generation = NewBootId();
     return std::make_unique<shared::RedisEngine>(io, std::move(options));
   }
   shared::SqliteOptions options;
   options.path = s.path;
-  options.durability = s.power ? shared::Durability::kPower : shared::Durability::kProcess;
-  options.most_mb = s.most_mb;
+  options.durability = s.survive_power_loss ? shared::Durability::kPower : shared::Durability::kProcess;
+  options.most_mb = s.max_size_mb;
   auto make = [options] {
     auto store = std::make_shared<shared::SqliteStore>(options);
     return [store](const std::vector<shared::Call>& calls) { return store->Take(calls); };
@@ -69,53 +69,53 @@
         mailbox_(io),
         engine_(MakeEngine(io, &mailbox_, *config.fleet)) {
     if (sodium_init() < 0) throw micadock::WireError("fleet: no hashing is to be had");
-    DeskPorts ports;
-    ports.now = Monotonic;
-    ports.draw = [this] { return dice_.Unit(); };
-    ports.ask = [this](shared::Call call, std::function<void(const shared::Reply&)> done) {
+    NodeAgentEnvironment env;
+    env.now = MonotonicSeconds;
+    env.random_unit = [this] { return dice_.Unit(); };
+    env.call_engine = [this](shared::Call call, std::function<void(const shared::Reply&)> done) {
       engine_->Ask(std::move(call), std::move(done));
     };
-    ports.later = [this](std::function<void()> task) { Later(std::move(task)); };
-    ports.wake = [this](double due) { Arm(due); };
-    ports.log = [](const std::string& text) { std::fprintf(stderr, "%s\n", text.c_str()); };
-    desk_ = std::make_unique<Desk>(config, NewBoot(), std::move(events), std::move(ports));
-    Later([this] { desk_->Start(); });
+    env.post = [this](std::function<void()> task) { Post(std::move(task)); };
+    env.set_timer = [this](double due) { ArmTimer(due); };
+    env.log = [](const std::string& text) { std::fprintf(stderr, "%s\n", text.c_str()); };
+    agent_ = std::make_unique<NodeAgent>(config, NewBootId(), std::move(events), std::move(env));
+    Post([this] { agent_->Start(); });
   }
   ~Node() override { *alive_ = false; }
 
-  void Asked(uint64_t customer, int plan, double units) override { desk_->Asked(customer, plan, units); }
-  void Take(const KeyedCall& call) override { desk_->Take(call); }
-  void Held(uint64_t client, uint32_t request) override { desk_->Held(client, request); }
+  void Asked(uint64_t customer, int plan, double units) override { agent_->Asked(customer, plan, units); }
+  void Take(const KeyedCall& call) override { agent_->Take(call); }
+  void Held(uint64_t client, uint32_t request) override { agent_->Held(client, request); }
   bool Intend(uint32_t request, int attempt, const std::string& backend, int zone, int cell) override {
-    return desk_->Intend(request, attempt, backend, zone, cell);
+    return agent_->Intend(request, attempt, backend, zone, cell);
   }
   void AttemptOver(uint32_t request, int attempt, bool may_have_run) override {
-    desk_->AttemptOver(request, attempt, may_have_run);
+    agent_->AttemptOver(request, attempt, may_have_run);
   }
   bool Answered(uint64_t client, int status, const std::string& type, const std::string& body) override {
-    return desk_->Answered(client, status, type, body);
+    return agent_->Answered(client, status, type, body);
   }
-  bool ClientGone(uint64_t client) override { return desk_->ClientGone(client); }
-  void Serving() override { desk_->Serving(); }
-  void Leaving() override { desk_->Leaving(); }
-  void Left(std::function<void()> done) override { desk_->Left(std::move(done)); }
-  std::string Figures() const override { return desk_->Figures(); }
-  std::string Members() const override { return desk_->Members(); }
+  bool ClientGone(uint64_t client) override { return agent_->ClientGone(client); }
+  void Serving() override { agent_->Serving(); }
+  void Leaving() override { agent_->Leaving(); }
+  void Left(std::function<void()> done) override { agent_->Left(std::move(done)); }
+  std::string Figures() const override { return agent_->Figures(); }
+  std::string Members() const override { return agent_->Members(); }
 
  private:
-  void Later(std::function<void()> task) {
+  void Post(std::function<void()> task) {
     asio::post(io_, [alive = alive_, task = std::move(task)] {
       if (*alive) task();
     });
   }
-  void Arm(double due) {
-    if (armed_ > 0 && armed_ <= due) return;
-    armed_ = due;
-    timer_.expires_after(Seconds(std::max(0.0, due - Monotonic()) + kTickS));
+  void ArmTimer(double due) {
+    if (timer_due_ > 0 && timer_due_ <= due) return;
+    timer_due_ = due;
+    timer_.expires_after(Seconds(std::max(0.0, due - MonotonicSeconds()) + kTimerMarginS));
     timer_.async_wait([this](error_code cancelled) {
       if (cancelled) return;
-      armed_ = 0;
-      desk_->OnTime();
+      timer_due_ = 0;
+      agent_->OnTimer();
     });
   }
 
@@ -123,10 +123,10 @@
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   micadock::Dice dice_;
   asio::steady_timer timer_;
-  double armed_ = 0;
+  double timer_due_ = 0;
   Mailbox mailbox_;  // of the engine's own thread, if it has one
   std::unique_ptr<shared::Engine> engine_;
-  std::unique_ptr<Desk> desk_;
+  std::unique_ptr<NodeAgent> agent_;
 };
 
 }  // namespace
--- a/src/fleet/settings.cpp
+++ b/src/fleet/settings.cpp
@@ -102,11 +102,12 @@
     return s;
   }
   Fields f(section, "fleet", faults);
-  f.Choice("engine", {{"sqlite", [&] { s.kind = Settings::Kind::kSqlite; }},
-                      {"redis", [&] { s.kind = Settings::Kind::kRedis; }}});
+  f.Choice("engine", {{"sqlite", [&] { s.engine = Settings::Engine::kSqlite; }},
+                      {"redis", [&] { s.engine = Settings::Engine::kRedis; }}});
   f.Text("path", &s.path, 1000);
-  f.Choice("durability", {{"power", [&] { s.power = true; }}, {"process", [&] { s.power = false; }}});
-  f.Whole("most_mb", 1, 1 << 20, &s.most_mb);
+  f.Choice("durability", {{"power", [&] { s.survive_power_loss = true; }},
+                          {"process", [&] { s.survive_power_loss = false; }}});
+  f.Whole("most_mb", 1, 1 << 20, &s.max_size_mb);
   f.Text("address", &s.address);
   f.Text("username", &s.username);
   f.Text("password", &s.password);
@@ -116,30 +117,29 @@
   f.Number("hold_s", 0, 3600, &s.hold_s);
   f.Number("capacity", 0.001, 1000, &s.capacity);
   f.Object("lending", [&](const json& value, const std::string& path) {
-    s.lending.on = true;
+    s.lending.enabled = true;
     Fields in(value, path, faults);
     in.Number("turn_s", 0.1, 3600, &s.lending.turn_s);
-    in.Whole("most_customers", 1, 100000, &s.lending.most_customers);
+    in.Whole("most_customers", 1, 100000, &s.lending.max_customers);
     in.Done();
   });
   f.Object("ledger", [&](const json& value, const std::string& path) {
     Settings::Ledger& l = s.ledger;
-    l.on = true;
+    l.enabled = true;
     Fields in(value, path, faults);
     in.Text("key_header", &l.key_header, 64);
-    in.Number("life_s", 1, 86400, &l.life_s);
-    in.Number("patience_s", 0.005, 10, &l.patience_s);
-    in.Whole("most_answer", 0, 1 << 19, &l.most_answer);
-    in.Whole("most_open", 1, 1000000, &l.most_open);
+    in.Number("life_s", 1, 86400, &l.record_ttl_s);
+    in.Number("patience_s", 0.005, 10, &l.engine_timeout_s);
+    in.Whole("most_answer", 0, 1 << 19, &l.max_answer_bytes);
+    in.Whole("most_open", 1, 1000000, &l.max_open_requests);
     in.Object("without", [&](const json& without, const std::string& name) {
       Fields w(without, name, faults);
-      auto rule = [&](const char* key, bool* goes_on) {
-        w.Choice(key,
-                 {{"refuse", [goes_on] { *goes_on = false; }}, {"go-on", [goes_on] { *goes_on = true; }}});
+      auto rule = [&](const char* key, bool* serve) {
+        w.Choice(key, {{"refuse", [serve] { *serve = false; }}, {"go-on", [serve] { *serve = true; }}});
       };
-      rule("safe", &l.safe_goes_on);
-      rule("keyed", &l.keyed_goes_on);
-      rule("unsafe", &l.unsafe_goes_on);
+      rule("safe", &l.serve_safe_unrecorded);
+      rule("keyed", &l.serve_keyed_unrecorded);
+      rule("unsafe", &l.serve_unsafe_unrecorded);
       w.Done();
     });
     in.Done();
@@ -149,8 +149,8 @@
     if (!token) in.Fault("setting is missing or no header's name: fleet.ledger.key_header");
   });
   f.Done();
-  if (s.kind == Settings::Kind::kSqlite && s.path.empty()) f.Fault("setting is missing: fleet.path");
-  if (s.kind == Settings::Kind::kRedis) {
+  if (s.engine == Settings::Engine::kSqlite && s.path.empty()) f.Fault("setting is missing: fleet.path");
+  if (s.engine == Settings::Engine::kRedis) {
     try {
       ParseAddress("fleet.address", s.address);
     } catch (const WireError& error) {
--- a/src/fleet/settings.h
+++ b/src/fleet/settings.h
@@ -10,12 +10,12 @@
 namespace ivygw::fleet {
 
 struct Settings {
-  enum class Kind { kSqlite, kRedis };
-  Kind kind = Kind::kSqlite;
+  enum class Engine { kSqlite, kRedis };
+  Engine engine = Engine::kSqlite;
   // sqlite
   std::string path;
-  bool power = true;  // a commit waits for the disk
-  int most_mb = 256;
+  bool survive_power_loss = true;  // a commit waits for the disk
+  int max_size_mb = 256;
   // redis
   std::string address, username, password, prefix = "ivygw";
   int database = 0;
@@ -25,18 +25,18 @@
 
   // Parts of customers' ceilings are lent by lease, in place of even ones.
   struct Lending {
-    bool on = false;
+    bool enabled = false;
     double turn_s = 6;  // for which a part is held where others wait for one
-    int most_customers = 256;
+    int max_customers = 256;
   } lending;
 
   struct Ledger {
-    bool on = false;
+    bool enabled = false;
     std::string key_header;  // in which a client gives its key
-    double life_s = 60, patience_s = 0.15;
-    int most_answer = 16 * 1024, most_open = 4096;
+    double record_ttl_s = 60, engine_timeout_s = 0.15;
+    int max_answer_bytes = 16 * 1024, max_open_requests = 4096;
     // Without the engine's word: refused, or served without the promises.
-    bool safe_goes_on = true, keyed_goes_on = false, unsafe_goes_on = false;
+    bool serve_safe_unrecorded = true, serve_keyed_unrecorded = false, serve_unsafe_unrecorded = false;
   } ledger;
 };
 
--- a/src/gateway/config.cpp
+++ b/src/gateway/config.cpp
@@ -152,7 +152,7 @@
     if (!settings->is_object()) throw WireError("setting is unreadable: settings");
     std::string flat = Flatten(*settings);
     config.settings = micadock::ParseSettings(flat, faults);
-    config.settings.lend_ceilings = config.fleet && config.fleet->lending.on;
+    config.settings.lend_ceilings = config.fleet && config.fleet->lending.enabled;
     config.site = micadock::ParseSite(flat, faults);
   });
   part([&] {
--- a/src/gateway/quota_bound.cpp
+++ b/src/gateway/quota_bound.cpp
@@ -46,14 +46,14 @@
   double endless = std::numeric_limits<double>::infinity();
   bound.ceiling = bound.ceiling_frozen = bound.ceiling_whatever = {endless, 0};
   if (plan.ceiling_rate > 0) {
-    parts::Allowance a = CeilingOf(settings, plan, k);
+    parts::CeilingParams a = CeilingOf(settings, plan, k);
     // Of the part that is reserved each gateway spends a window's limit at most, also where the counter tells
     // it of its own reservations alone; totals that stand still are believed once.
-    double times = a.EvenShare() + k * (1 - a.EvenShare());
-    bound.ceiling = {a.store - burst, a.rate - rate};
-    bound.ceiling_frozen = {a.store + k * a.Limit() - burst, a.rate - rate};
-    bound.ceiling_whatever = {times * a.store - burst, times * a.rate - rate};
-    bound.ceiling_loss = a.Limit();
+    double times = a.LocalFraction() + k * (1 - a.LocalFraction());
+    bound.ceiling = {a.burst - burst, a.rate - rate};
+    bound.ceiling_frozen = {a.burst + k * a.WindowLimit() - burst, a.rate - rate};
+    bound.ceiling_whatever = {times * a.burst - burst, times * a.rate - rate};
+    bound.ceiling_loss = a.WindowLimit();
   }
   return bound;
 }
--- a/src/gateway/works.cpp
+++ b/src/gateway/works.cpp
@@ -36,7 +36,7 @@
 
 // One whose body is not held whole could not be sent again, and goes without.
 bool Gateway::IsWork(const ClientMessage& message) const {
-  if (!fleet_ || !config_.fleet->ledger.on || message.more) return false;
+  if (!fleet_ || !config_.fleet->ledger.enabled || message.more) return false;
   auto field = message.head.find(config_.fleet->ledger.key_header);
   return field != message.head.end() && !field->value().empty();
 }
@@ -101,7 +101,7 @@
     answer.headers += std::string("Work: ") + note->second + "\r\n";
     notes_.erase(note);
   }
-  if (!fleet_ || !config_.fleet->ledger.on) return server_.Reply(client, answer);
+  if (!fleet_ || !config_.fleet->ledger.enabled) return server_.Reply(client, answer);
   std::string type;
   constexpr std::string_view kType = "content-type: ";
   for (size_t at = 0; at < answer.headers.size();) {
--- a/src/parts/ceiling.cpp
+++ b/src/parts/ceiling.cpp
@@ -5,66 +5,72 @@
 
 namespace ivygw::parts {
 namespace {
-constexpr double kRounding = 1e-6;  // of totals
-constexpr double kLeastS = 1e-3;    // a window at least, whatever the settings say
+constexpr double kRoundingTolerance = 1e-6;  // of totals
+constexpr double kMinWindowS = 1e-3;         // a window at least, whatever the settings say
 }  // namespace
 
-double Allowance::EvenShare() const {
-  double part = store / std::max(1.0, gateways);
-  if (!pooled || (gateways <= 1 && lent < 0)) return 1;
-  return lent >= 0 || part >= 0.5 * largest ? 0.5 : 0;
+double CeilingParams::LocalFraction() const {
+  double burst_per_gateway = burst / std::max(1.0, gateway_count);
+  if (!has_counter || (gateway_count <= 1 && leased_share < 0)) return 1;
+  return leased_share >= 0 || burst_per_gateway >= 0.5 * max_request_units ? 0.5 : 0;
+}
+double CeilingParams::GatewayShare() const {
+  return leased_share >= 0 ? leased_share : 1 / std::max(1.0, gateway_count);
+}
+double CeilingParams::WindowSeconds() const { return std::max(kMinWindowS, burst / (2 * rate)); }
+double CeilingParams::WindowLimit() const { return (1 - LocalFraction()) * burst / 2; }
+int64_t CeilingParams::WindowIndex(double now) const {
+  return static_cast<int64_t>(std::floor(now / WindowSeconds()));
 }
-double Allowance::Part() const { return lent >= 0 ? lent : 1 / std::max(1.0, gateways); }
-double Allowance::WindowS() const { return std::max(kLeastS, store / (2 * rate)); }
-double Allowance::Limit() const { return (1 - EvenShare()) * store / 2; }
-int64_t Allowance::WindowAt(double now) const { return static_cast<int64_t>(std::floor(now / WindowS())); }
 
-void Ceiling::Begin(const Allowance& a, double running_s) {
-  double share = a.EvenShare() * a.Part();
-  even_ = std::min(share * a.store, share * a.rate * std::max(0.0, running_s));
+void CeilingLimiter::Initialize(const CeilingParams& params, double uptime_s) {
+  double share = params.LocalFraction() * params.GatewayShare();
+  local_units_ = std::min(share * params.burst, share * params.rate * std::max(0.0, uptime_s));
 }
 
-void Ceiling::Refill(const Allowance& a, double seconds) {
-  double share = a.EvenShare() * a.Part();
-  even_ = std::min(share * a.store, even_ + share * a.rate * seconds);
+void CeilingLimiter::Refill(const CeilingParams& params, double seconds) {
+  double share = params.LocalFraction() * params.GatewayShare();
+  local_units_ = std::min(share * params.burst, local_units_ + share * params.rate * seconds);
 }
 
-double Ceiling::Room(const Allowance& a, double now) const {
-  return even_ + (a.WindowAt(now) == window_ ? granted_ : 0);
+double CeilingLimiter::AvailableUnits(const CeilingParams& params, double now) const {
+  return local_units_ + (params.WindowIndex(now) == window_ ? granted_ : 0);
 }
 
-bool Ceiling::MayReserve(const Allowance& a, double units, double now) const {
-  double told = a.WindowAt(now) == window_ ? told_ : 0;
-  return units <= a.Limit() - told;
+bool CeilingLimiter::CanReserve(const CeilingParams& params, double units, double now) const {
+  double total = params.WindowIndex(now) == window_ ? window_total_ : 0;
+  return units <= params.WindowLimit() - total;
 }
 
-std::optional<Ceiling::Reservation> Ceiling::Reserve(const Allowance& a, double units, double now) {
-  wanted_ += units;
-  if (reserving_ || wanted_ <= 0) return std::nullopt;
-  if (int64_t window = a.WindowAt(now); window != window_) {
+std::optional<CeilingLimiter::Reservation> CeilingLimiter::Reserve(const CeilingParams& params, double units,
+                                                                   double now) {
+  requested_units_ += units;
+  if (reserving_ || requested_units_ <= 0) return std::nullopt;
+  if (int64_t window = params.WindowIndex(now); window != window_) {
     window_ = window;
-    told_ = granted_ = 0;
+    window_total_ = granted_ = 0;
   }
   reserving_ = true;
-  Reservation made{window_, wanted_};
-  wanted_ = 0;
-  return made;
+  Reservation reservation{window_, requested_units_};
+  requested_units_ = 0;
+  return reservation;
 }
 
-bool Ceiling::Take(const Allowance& a, const Reservation& made, bool added, double total) {
+bool CeilingLimiter::CompleteReservation(const CeilingParams& params, const Reservation& reservation,
+                                         bool confirmed, double total) {
   reserving_ = false;
-  if (!added || made.window != window_) return true;
-  double before = total - made.units;
-  bool sound = before > told_ - kRounding;
-  if (sound) granted_ += std::clamp(a.Limit() - before, 0.0, made.units);
-  told_ = std::max(told_, total);
-  return sound;
+  if (!confirmed || reservation.window != window_) return true;
+  double before = total - reservation.units;
+  bool consistent = before > window_total_ - kRoundingTolerance;
+  if (consistent) granted_ += std::clamp(params.WindowLimit() - before, 0.0, reservation.units);
+  window_total_ = std::max(window_total_, total);
+  return consistent;
 }
 
-void Ceiling::Spend(const Allowance& a, double units, double now) {
-  double reserved = a.WindowAt(now) == window_ ? std::min(granted_, units) : 0;
+void CeilingLimiter::Spend(const CeilingParams& params, double units, double now) {
+  double reserved = params.WindowIndex(now) == window_ ? std::min(granted_, units) : 0;
   granted_ -= reserved;
-  even_ -= units - reserved;
+  local_units_ -= units - reserved;
 }
 
 }  // namespace ivygw::parts
--- a/src/parts/ceiling.h
+++ b/src/parts/ceiling.h
@@ -20,61 +20,63 @@
 namespace ivygw::parts {
 
 // What a ceiling is, and among how many it is shared. Derived in docs/design/allowances.md.
-struct Allowance {
-  double rate = 0, store = 0;  // units a second, units; rate over nought
-  double gateways = 1;         // of the customer's set, 1 or more; the same in all its requests
-  double largest = 1;          // units of the largest request
+struct CeilingParams {
+  double rate = 0, burst = 0;    // units a second, units; rate over nought
+  double gateway_count = 1;      // of the customer's set, 1 or more; the same in all its requests
+  double max_request_units = 1;  // units of the largest request
 
-  bool pooled = true;  // there is a counter, at which what is not cut evenly is reserved
-  double lent = -1;    // share of what is cut, that is lent to this gateway; under nought: an even one
+  bool has_counter = true;   // there is a counter, at which what is not cut evenly is reserved
+  double leased_share = -1;  // share of what is cut, that is lent to this gateway; under nought: an even one
 
   // Share of it that is cut evenly, and may be spent with no counter: half, so that traffic which comes
   // through few gateways finds the other half; nothing where an even part does not hold half of the largest
   // request, since parts that no request fits into serve nobody; all of it where nothing can be reserved.
   // Where parts are lent these hold the largest request.
-  double EvenShare() const;
-  double Part() const;     // this gateway's share of what is cut
-  double WindowS() const;  // of the pool
-  double Limit() const;    // units a window
-  int64_t WindowAt(double now) const;
+  double LocalFraction() const;
+  double GatewayShare() const;   // this gateway's share of what is cut
+  double WindowSeconds() const;  // of the pool
+  double WindowLimit() const;    // units a window
+  int64_t WindowIndex(double now) const;
 };
 
-class Ceiling {
+class CeilingLimiter {
  public:
   // `running_s`: for which this gateway has run; its even part fills for as long.
-  void Begin(const Allowance& a, double running_s);
-  void Refill(const Allowance& a, double seconds);
+  void Initialize(const CeilingParams& params, double uptime_s);
+  void Refill(const CeilingParams& params, double seconds);
 
   // Units that may be sent now.
-  double Room(const Allowance& a, double now) const;
+  double AvailableUnits(const CeilingParams& params, double now) const;
   // Whether as many may be had by a reservation.
-  bool MayReserve(const Allowance& a, double units, double now) const;
+  bool CanReserve(const CeilingParams& params, double units, double now) const;
   // Asks for so many units beside what is asked for already. A reservation to be made now, or none while one
   // is out; units of 0 ask for what waited for that. `Take` is to follow.
   struct Reservation {
     int64_t window = 0;
     double units = 0;
   };
-  std::optional<Reservation> Reserve(const Allowance& a, double units, double now);
+  std::optional<Reservation> Reserve(const CeilingParams& params, double units, double now);
   // What came of it: the window's total with it, where it is known to have been `added`. False where the
   // total is less than was told before: the counter has lost some, and nothing is granted.
-  bool Take(const Allowance& a, const Reservation& made, bool added, double total);
+  bool CompleteReservation(const CeilingParams& params, const Reservation& reservation, bool confirmed,
+                           double total);
   bool reserving() const { return reserving_; }
 
   // Units are sent: what was reserved goes first. `Room` held them.
-  void Spend(const Allowance& a, double units, double now);
+  void Spend(const CeilingParams& params, double units, double now);
 
   // All of it, for a search that looks for states it has been in.
   std::array<double, 6> State() const {
-    return {even_, static_cast<double>(window_), told_, granted_, wanted_, static_cast<double>(reserving_)};
+    return {local_units_,     static_cast<double>(window_),   window_total_, granted_,
+            requested_units_, static_cast<double>(reserving_)};
   }
 
  private:
-  double even_ = 0;
-  int64_t window_ = -1;  // of what follows
-  double told_ = 0;      // its total
-  double granted_ = 0;   // reserved, not spent
-  double wanted_ = 0;
+  double local_units_ = 0;
+  int64_t window_ = -1;      // of what follows
+  double window_total_ = 0;  // its total
+  double granted_ = 0;       // reserved, not spent
+  double requested_units_ = 0;
   bool reserving_ = false;
 };
 
--- a/src/policy/quotas.cpp
+++ b/src/policy/quotas.cpp
@@ -34,9 +34,9 @@
 Quotas::Quotas(const Settings& s, Dice* dice, Ticks* ticks, double now)
     : s_(s), dice_(dice), ticks_(ticks), start_(now), inside_(s.plans.size(), kInsideAtFirst) {}
 
-ivygw::parts::Allowance Quotas::Ceiled(const Customer& c) const {
+ivygw::parts::CeilingParams Quotas::Ceiled(const Customer& c) const {
   auto whole = CeilingOf(s_, PlanOf(c), s_.counted ? c.entries : 1e9);
-  if (s_.lend_ceilings && c.at < c.lent_until) whole.lent = c.lent;
+  if (s_.lend_ceilings && c.at < c.lent_until) whole.leased_share = c.lent;
   return whole;
 }
 
@@ -54,7 +54,7 @@
     c.others = p.rate * (c.entries - 1) / c.entries;
     c.own_mean = 0.5 * p.rate / c.entries;  // half used, evenly, until told
     c.others_mean = 0.5 * c.others;
-    c.ceiling.Begin(Ceiled(c), now - start_);
+    c.ceiling.Initialize(Ceiled(c), now - start_);
     if (p.rate > 0) c.window = WindowNow(p, now);
   }
   c.entries = Entries(c);
@@ -179,7 +179,7 @@
   if (was && !Quiet()) Log(out, "counter answers again");
   if (!was && Quiet()) Log(out, "counter is silent: going by this gateway's part of each quota");
   if (call.kind == Call::kPool) {
-    if (!c->ceiling.Take(Ceiled(*c), {call.window, call.amount}, ok, answer.total)) c->missed += kApartRun;
+    if (!c->ceiling.CompleteReservation(Ceiled(*c), {call.window, call.amount}, ok, answer.total)) c->missed += kApartRun;
     Reserve(call.customer, c, 0, now, out);
   } else if (call.kind == Call::kOpen) {
     TakeOpen(c, call, answer, now);
@@ -259,9 +259,9 @@
   Refill(c, now);
   Lend(c, r.units, now);
   *chance = 0;
-  bool here = p.ceiling_rate <= 0 || c->ceiling.Room(Ceiled(*c), now) >= r.units;
+  bool here = p.ceiling_rate <= 0 || c->ceiling.AvailableUnits(Ceiled(*c), now) >= r.units;
   bool may = s_.may_count && !Apart(*c) && r.left_s > kAskPatience * s_.count_timeout_s;
-  if (!here && !(may && c->ceiling.MayReserve(Ceiled(*c), r.units, now))) return Verdict::kOver;
+  if (!here && !(may && c->ceiling.CanReserve(Ceiled(*c), r.units, now))) return Verdict::kOver;
   bool soft = Soft(p), alone = c->entries < 2;
   double loss = Loss(p), told = 1;
   if (p.parallel > 0) {
@@ -293,7 +293,7 @@
 
 void Quotas::Reserve(uint64_t id, Customer* c, double units, double now, Actions* out) {
   auto made = c->ceiling.Reserve(Ceiled(*c), units, now);
-  if (made) Ring({id, made->window, made->units, Call::kPool, now}, 2 * Ceiled(*c).WindowS(), out);
+  if (made) Ring({id, made->window, made->units, Call::kPool, now}, 2 * Ceiled(*c).WindowSeconds(), out);
 }
 
 bool Quotas::WorthAsking(const Customer& c, const Request& r, Verdict verdict, double chance, double now) {
--- a/src/policy/quotas.h
+++ b/src/policy/quotas.h
@@ -29,7 +29,7 @@
 };
 
 // A plan's ceiling as it is shared: the store with the slack that is used.
-inline ivygw::parts::Allowance CeilingOf(const Settings& s, const PlanSettings& p, double gateways) {
+inline ivygw::parts::CeilingParams CeilingOf(const Settings& s, const PlanSettings& p, double gateways) {
   return {p.ceiling_rate, p.ceiling_burst + kSlackShare * p.ceiling_slack, gateways, s.max_units, s.may_count, s.lend_ceilings ? 0.0 : -1.0};
 }
 
@@ -42,7 +42,7 @@
   double others = 0;  // units a second that other gateways send on
   double others_mean = 0, own_mean = 0;  // theirs and its own over several windows, from sound totals: its parts
   int missed = 0;              // calls in a row that failed, or told a total that can't be
-  ivygw::parts::Ceiling ceiling;
+  ivygw::parts::CeilingLimiter ceiling;
   double lent = 0, lent_until = 0;  // its share, and until when
   int64_t window = 0;
   double carried = 0;              // burst less S at this window's start, as known here
@@ -123,7 +123,7 @@
   static bool Soft(const PlanSettings& p) { return p.excess_worth > p.over_cost; }
   static double Loss(const PlanSettings& p) { return p.over_cost - p.excess_worth; }
   static int64_t WindowNow(const PlanSettings& p, double now) { return static_cast<int64_t>(std::floor(now / WindowS(p))); }
-  ivygw::parts::Allowance Ceiled(const Customer& c) const;
+  ivygw::parts::CeilingParams Ceiled(const Customer& c) const;
   // A set of all that were told is a set of all that are there.
   double Entries(const Customer& c) const {
     return s_.told_gateways > 0 && c.spread >= s_.told_gateways ? s_.gateways : std::min<double>(c.spread, s_.gateways);
--- a/src/rehearsal/virtual_gateway.cpp
+++ b/src/rehearsal/virtual_gateway.cpp
@@ -154,28 +154,29 @@
   events.share = [this](uint64_t customer, double share, double seconds) {
     driver_->Tell(core::ShareTold{customer, share, seconds});
   };
-  fleet::DeskPorts ports;
+  fleet::NodeAgentEnvironment ports;
   auto random = std::make_shared<emulator::Random>(emulator::Random(config_.seed).Fork("desk", life));
   ports.now = [this] {
     return 1e4 * (1 + number_) + scheduler_->Now();
   };  // monotonic clocks have nothing in common
-  ports.draw = [random] { return random->Unit(); };
-  ports.ask = [this, engine](shared::Call call, std::function<void(const shared::Reply&)> done) {
+  ports.random_unit = [random] { return random->Unit(); };
+  ports.call_engine = [this, engine](shared::Call call, std::function<void(const shared::Reply&)> done) {
     engine->Ask(number_, std::move(call),
                 [this, alive = alive_, done = std::move(done)](const shared::Reply& reply) {
                   if (*alive) After(0, [done, reply] { done(reply); });
                 });
   };
-  ports.later = [this](std::function<void()> task) { After(0, std::move(task)); };
-  ports.wake = [this](double due) {
+  ports.post = [this](std::function<void()> task) { After(0, std::move(task)); };
+  ports.set_timer = [this](double due) {
     uint64_t turn = ++wake_turn_;
     After(std::max(0.0, due - (1e4 * (1 + number_) + scheduler_->Now())) + kTickS, [this, turn] {
-      if (turn == wake_turn_) desk_->OnTime();
+      if (turn == wake_turn_) desk_->OnTimer();
     });
   };
   ports.log = [](const std::string&) {};
-  desk_ = std::make_unique<fleet::Desk>(config_, "b" + std::to_string(number_) + "." + std::to_string(life),
-                                        std::move(events), std::move(ports));
+  desk_ =
+      std::make_unique<fleet::NodeAgent>(config_, "b" + std::to_string(number_) + "." + std::to_string(life),
+                                         std::move(events), std::move(ports));
   After(0, [this] {
     desk_->Start();
     desk_->Serving();
--- a/src/rehearsal/virtual_gateway.h
+++ b/src/rehearsal/virtual_gateway.h
@@ -15,7 +15,7 @@
 #include "emulator/engine_model.h"
 #include "emulator/scheduler.h"
 #include "emulator/world.h"
-#include "fleet/desk.h"
+#include "fleet/node_agent.h"
 #include "gateway/config.h"
 #include "net/discovery_client.h"
 #include "scenario/scenario.h"
@@ -34,7 +34,7 @@
 
   // Does nothing until it goes on; what comes meanwhile waits. Bytes that it has sent are on their way.
   void Pause(bool on);
-  const fleet::Desk* desk() const { return desk_.get(); }
+  const fleet::NodeAgent* desk() const { return desk_.get(); }
   void OnRequest(const emulator::ClientCall& call);  // its last byte has come
   void OnClientGone(uint64_t call);
   void DiscoveryChanged();        // its agent may get something at another time than was thought
@@ -109,7 +109,7 @@
   bool paused_ = false;
   std::vector<std::function<void()>> waiting_tasks_;
   uint64_t wake_turn_ = 0;
-  std::unique_ptr<fleet::Desk> desk_;
+  std::unique_ptr<fleet::NodeAgent> desk_;
   std::optional<core::Driver<VirtualGateway>> driver_;
 };
 
--- a/tests/fleet/lending_test.cpp
+++ b/tests/fleet/lending_test.cpp
@@ -90,17 +90,17 @@
     for (auto& client : std::exchange(clients_, {})) client.join();
   }
   long Thousandths(const std::string& name) {
-    return FiguresOf(fleet.of(name).admin)["fleet_loans_shares_thousandths"];
+    return AdminMetrics(fleet.of(name).admin)["fleet_loans_shares_thousandths"];
   }
   bool AllHold(const std::vector<std::string>& names, long least) {
-    return InTheEnd([&] {
+    return Eventually([&] {
       return std::all_of(names.begin(), names.end(), [&](auto& n) { return Thousandths(n) >= least; });
     });
   }
   // More is served, which the shares that are held now must allow.
   bool ServesOn(int more) {
     int before = metered.sent();
-    return InTheEnd([&] { return metered.sent() >= before + more; });
+    return Eventually([&] { return metered.sent() >= before + more; });
   }
   Metered metered;
   Fleet fleet;
@@ -160,13 +160,13 @@
   for (int i = 0; i < 3; ++i) Flood(Name(i));
   EXPECT_TRUE(AllHold({"g0", "g1", "g2"}, 250));
   fleet.redis().OnLink("g1", [](auto& link) { link.Cut(); });
-  EXPECT_TRUE(InTheEnd([&] { return Thousandths("g1") == 0; }));
+  EXPECT_TRUE(Eventually([&] { return Thousandths("g1") == 0; }));
   EXPECT_TRUE(AllHold({"g0", "g2"}, 400));
   fleet.redis().OnLink("g1", [](auto& link) { link.Mend(); });
   EXPECT_TRUE(AllHold({"g0", "g1", "g2"}, 250));
   // One way only: its calls come to the engine, and no answer comes back.
   fleet.redis().OnLink("g2", [](auto& link) { link.back.swallows = true; });
-  EXPECT_TRUE(InTheEnd([&] { return Thousandths("g2") == 0; }));
+  EXPECT_TRUE(Eventually([&] { return Thousandths("g2") == 0; }));
   fleet.redis().OnLink("g2", [](auto& link) { link.Mend(); });
   EXPECT_TRUE(AllHold({"g0", "g1", "g2"}, 250));
   Stop();
--- a/tests/fleet/members_test.cpp
+++ b/tests/fleet/members_test.cpp
@@ -34,7 +34,7 @@
   // All that run see exactly these.
   bool AllSee(const std::set<std::string>& names, std::set<int> but = {}) {
     for (const std::string& name : All(but)) {
-      if (fleet.has(name) && !InTheEnd([&] { return fleet.Seen(name) == names; })) return false;
+      if (fleet.has(name) && !Eventually([&] { return fleet.Seen(name) == names; })) return false;
     }
     return true;
   }
@@ -42,9 +42,9 @@
   void Apart(const std::set<std::string>& names) {
     std::set<long> slots, fences;
     for (const std::string& name : names) {
-      auto figures = FiguresOf(fleet.of(name).admin);
-      slots.insert(figures["fleet_slot"]);
-      fences.insert(figures["fleet_fence"]);
+      auto metrics = AdminMetrics(fleet.of(name).admin);
+      slots.insert(metrics["fleet_slot"]);
+      fences.insert(metrics["fleet_fence"]);
     }
     EXPECT_EQ(slots.size(), names.size());
     EXPECT_EQ(fences.size(), names.size());
@@ -55,25 +55,25 @@
 TEST_P(Members, FindEachOtherAndSeeWhoIsKilled) {
   EXPECT_TRUE(AllSee(All()));
   Apart(All());
-  EXPECT_TRUE(InTheEnd([&] { return FiguresOf(fleet.of("g0").admin)["fleet_counts"] == 1; }));
+  EXPECT_TRUE(Eventually([&] { return AdminMetrics(fleet.of("g0").admin)["fleet_counts"] == 1; }));
   fleet.Kill("g1");
   EXPECT_TRUE(AllSee(All({1})));
-  EXPECT_TRUE(InTheEnd([&] { return FiguresOf(fleet.of("g0").admin)["fleet_number"] == size() - 1; }));
-  long before = FiguresOf(fleet.of("g0").admin)["fleet_fence"];
+  EXPECT_TRUE(Eventually([&] { return AdminMetrics(fleet.of("g0").admin)["fleet_number"] == size() - 1; }));
+  long before = AdminMetrics(fleet.of("g0").admin)["fleet_fence"];
   fleet.Start("g1");
   EXPECT_TRUE(AllSee(All()));
   Apart(All());
-  EXPECT_GT(FiguresOf(fleet.of("g1").admin)["fleet_fence"], before) << "a fence rises with each start";
+  EXPECT_GT(AdminMetrics(fleet.of("g1").admin)["fleet_fence"], before) << "a fence rises with each start";
 }
 
 TEST_P(Members, OneStoppedPastItsLeaseKnowsWhenItWakes) {
   EXPECT_TRUE(AllSee(All()));
-  long before = FiguresOf(fleet.of("g1").admin)["fleet_fence"];
+  long before = AdminMetrics(fleet.of("g1").admin)["fleet_fence"];
   fleet.of("g1").Signal(SIGSTOP);
   EXPECT_TRUE(AllSee(All({1}), {1}));
   fleet.of("g1").Signal(SIGCONT);
   EXPECT_TRUE(AllSee(All()));
-  EXPECT_TRUE(InTheEnd([&] { return FiguresOf(fleet.of("g1").admin)["fleet_fence"] > before; }));
+  EXPECT_TRUE(Eventually([&] { return AdminMetrics(fleet.of("g1").admin)["fleet_fence"] > before; }));
   Apart(All());
 }
 
@@ -81,7 +81,7 @@
   EXPECT_TRUE(AllSee(All()));
   fleet.End("g1");
   EXPECT_TRUE(AllSee(All({1})));
-  EXPECT_TRUE(InTheEnd([&] { return FiguresOf(fleet.of("g0").admin)["fleet_number"] == size() - 1; }));
+  EXPECT_TRUE(Eventually([&] { return AdminMetrics(fleet.of("g0").admin)["fleet_number"] == size() - 1; }));
 }
 
 // A rolling restart of all, one after another, by SIGKILL.
@@ -99,14 +99,14 @@
   config["admin"] = "127.0.0.1:0";
   Process second(config);
   ASSERT_NE(second.port, 0);
-  EXPECT_TRUE(InTheEnd([&] { return FiguresOf(second.admin)["fleet_name_taken"] == 1; }));
-  EXPECT_EQ(FiguresOf(second.admin)["fleet_sure"], 0);
-  EXPECT_EQ(FiguresOf(second.admin)["fleet_counts"], 0);
+  EXPECT_TRUE(Eventually([&] { return AdminMetrics(second.admin)["fleet_name_taken"] == 1; }));
+  EXPECT_EQ(AdminMetrics(second.admin)["fleet_sure"], 0);
+  EXPECT_EQ(AdminMetrics(second.admin)["fleet_counts"], 0);
   EXPECT_TRUE(second.Says("another process lives under the name g1"));
-  EXPECT_EQ(FiguresOf(fleet.of("g1").admin)["fleet_sure"], 1) << "the first is the one";
+  EXPECT_EQ(AdminMetrics(fleet.of("g1").admin)["fleet_sure"], 1) << "the first is the one";
   EXPECT_TRUE(AllSee(All()));
   fleet.Kill("g1");
-  EXPECT_TRUE(InTheEnd([&] { return FiguresOf(second.admin)["fleet_sure"] == 1; }))
+  EXPECT_TRUE(Eventually([&] { return AdminMetrics(second.admin)["fleet_sure"] == 1; }))
       << "once the first has gone it takes the place";
 }
 
@@ -114,18 +114,18 @@
 TEST_P(Members, AnEngineBegunAnew) {
   EXPECT_TRUE(AllSee(All()));
   std::map<std::string, long> before;
-  for (const std::string& name : All()) before[name] = FiguresOf(fleet.of(name).admin)["fleet_fence"];
+  for (const std::string& name : All()) before[name] = AdminMetrics(fleet.of(name).admin)["fleet_fence"];
   if (redis()) {
     fleet.redis().With([](ivygw::standin::RedisServer& server) { server.Empty(); });
   } else {
     for (const char* part : {"", "-wal", "-shm"}) std::filesystem::remove(fleet.file() + part);
   }
   for (const std::string& name : All()) {
-    EXPECT_TRUE(InTheEnd([&] {
-      auto f = FiguresOf(fleet.of(name).admin);
+    EXPECT_TRUE(Eventually([&] {
+      auto f = AdminMetrics(fleet.of(name).admin);
       return f["fleet_sure"] == 1 && f["fleet_engine_losses"] >= 1;
     })) << name;
-    EXPECT_GT(FiguresOf(fleet.of(name).admin)["fleet_fence"], before[name]) << name;
+    EXPECT_GT(AdminMetrics(fleet.of(name).admin)["fleet_fence"], before[name]) << name;
   }
   EXPECT_TRUE(AllSee(All()));
   Apart(All());
@@ -150,12 +150,13 @@
     }
     std::set<std::string> left = All(cut);
     for (int i : cut) {
-      EXPECT_TRUE(InTheEnd([&] { return FiguresOf(fleet.of(Name(i)).admin)["fleet_sure"] == 0; })) << Name(i);
-      EXPECT_TRUE(InTheEnd([&] { return FiguresOf(fleet.of(Name(i)).admin)["fleet_counts"] == 0; }))
+      EXPECT_TRUE(Eventually([&] { return AdminMetrics(fleet.of(Name(i)).admin)["fleet_sure"] == 0; }))
+          << Name(i);
+      EXPECT_TRUE(Eventually([&] { return AdminMetrics(fleet.of(Name(i)).admin)["fleet_counts"] == 0; }))
           << Name(i);
     }
     for (const std::string& name : left)
-      EXPECT_TRUE(InTheEnd([&] { return fleet.Seen(name) == left; })) << name;
+      EXPECT_TRUE(Eventually([&] { return fleet.Seen(name) == left; })) << name;
     fleet.redis().MendAll();
     EXPECT_TRUE(AllSee(All()));
     Apart(All());
@@ -169,10 +170,10 @@
   fleet.Kill("g1");
   fleet.Start("g1");
   EXPECT_TRUE(AllSee(All()));
-  long fence = FiguresOf(fleet.of("g1").admin)["fleet_fence"];
+  long fence = AdminMetrics(fleet.of("g1").admin)["fleet_fence"];
   fleet.redis().With([](ivygw::standin::RedisServer& server) { server.FailOver(); });
-  EXPECT_TRUE(InTheEnd([&] {
-    auto f = FiguresOf(fleet.of("g1").admin);
+  EXPECT_TRUE(Eventually([&] {
+    auto f = AdminMetrics(fleet.of("g1").admin);
     return f["fleet_sure"] == 1 && f["fleet_fence"] > fence;
   }));
   EXPECT_TRUE(AllSee(All()));
--- a/tests/fleet/takeover_test.cpp
+++ b/tests/fleet/takeover_test.cpp
@@ -9,7 +9,7 @@
 
 using namespace rig;  // NOLINT
 
-json Listed(Effects& effects) { return json::array({Entry("s1", effects.backend.port())}); }
+json Listed(RecordingBackend& effects) { return json::array({Entry("s1", effects.backend.port())}); }
 std::string Own(const std::string& cls, const std::string& key, const std::string& more = "b") {
   return Keyed(cls, key, cls == "quote" ? "" : more);
 }
@@ -29,7 +29,7 @@
 TEST_P(AtEveryStep, AnotherTakesTheWorkOverOnce) {
   const Case c = GetParam();
   const bool unsafe = std::string(c.cls) == "send-lead";
-  Effects effects;
+  RecordingBackend effects;
   FleetOptions options;
   options.program = IVYGW_STEPPED;
   options.engine = c.engine;
@@ -45,11 +45,11 @@
     auto first = std::async(std::launch::async, [&] { return Ask(*client, request); });
     if (step > kSteps) {  // a whole life, and no step that was left out
       EXPECT_EQ(first.get().status(), 200);
-      EXPECT_TRUE(InTheEnd([&] { return FiguresOf(owner.admin)["fleet_works_open"] == 0; }));
+      EXPECT_TRUE(Eventually([&] { return AdminMetrics(owner.admin)["fleet_works_open"] == 0; }));
       EXPECT_FALSE(owner.Says("stops at step"));
       break;
     }
-    ASSERT_TRUE(InTheEnd([&] { return owner.Says("stops at step"); })) << step;
+    ASSERT_TRUE(Eventually([&] { return owner.Says("stops at step"); })) << step;
     SCOPED_TRACE(name);
     if (c.kill) fleet.Kill(name);
     Message second = Ask(*fleet.of("g1").Connect(), request), third = Ask(*fleet.of("g2").Connect(), request);
@@ -114,7 +114,7 @@
 TEST(TakeOver, KilledWhileTheBackendWorks) {
   for (const char* cls : {"quote", "save-scenario", "send-lead"}) {
     SCOPED_TRACE(cls);
-    Effects effects;
+    RecordingBackend effects;
     Fleet fleet({}, Listed(effects));
     fleet.Start("g0");
     fleet.Start("g1");
@@ -122,7 +122,7 @@
     auto client = fleet.of("g0").Connect();
     std::string request = Own(cls, "k");
     client->Write(request);
-    ASSERT_TRUE(effects.met.Wait());
+    ASSERT_TRUE(effects.received.Wait());
     fleet.Kill("g0");
     effects.Hold(false);
     Message back = Ask(*fleet.of("g1").Connect(), request);
@@ -140,7 +140,7 @@
 }
 
 TEST(TakeOver, ClaimantsDieTooFiveDeep) {
-  Effects effects;
+  RecordingBackend effects;
   Fleet fleet({}, Listed(effects));
   fleet.Start("last");
   std::string request = Own("save-scenario", "k");
@@ -151,7 +151,7 @@
     fleet.Start(name);
     clients.push_back(fleet.of(name).Connect());
     clients.back()->Write(request);
-    ASSERT_TRUE(effects.met.Wait(i + 1));
+    ASSERT_TRUE(effects.received.Wait(i + 1));
     fleet.Kill(name);
   }
   effects.Hold(false);
@@ -159,18 +159,18 @@
   EXPECT_EQ(back.status(), 200);
   EXPECT_EQ(back.body, "k done 1 times");
   EXPECT_EQ(effects.attempts("k"), 6);
-  EXPECT_EQ(FiguresOf(fleet.of("last").admin)["fleet_works_claimed"], 1);
+  EXPECT_EQ(AdminMetrics(fleet.of("last").admin)["fleet_works_claimed"], 1);
 }
 
 TEST(TakeOver, WhoComesBackWhileTheOwnerLivesGetsItsAnswer) {
-  Effects effects;
+  RecordingBackend effects;
   Fleet fleet({}, Listed(effects));
   for (const char* name : {"g0", "g1", "g2", "g3"}) fleet.Start(name);
   effects.Hold(true);
   std::string request = Own("send-lead", "k");
   auto first = fleet.of("g0").Connect();
   first->Write(request);
-  ASSERT_TRUE(effects.met.Wait());
+  ASSERT_TRUE(effects.received.Wait());
   first->Close();  // its client has gone; the gateway goes on for who comes back
   std::vector<std::unique_ptr<Wire>> back;
   for (const char* name : {"g1", "g2", "g3", "g0"}) {
@@ -178,7 +178,8 @@
     back.back()->Write(request);
   }
   for (const char* name : {"g1", "g2", "g3", "g0"}) {
-    EXPECT_TRUE(InTheEnd([&] { return FiguresOf(fleet.of(name).admin)["fleet_works_waited"] == 1; })) << name;
+    EXPECT_TRUE(Eventually([&] { return AdminMetrics(fleet.of(name).admin)["fleet_works_waited"] == 1; }))
+        << name;
   }
   effects.Hold(false);
   for (auto& wire : back) {
@@ -192,7 +193,7 @@
 
 // The engine's thread and the event loop under load: none is lost, and the gateway goes on.
 TEST(TakeOver, ManyAtOnceThroughOneGateway) {
-  Effects effects;
+  RecordingBackend effects;
   Fleet fleet({}, Listed(effects));
   fleet.Start("g0");
   std::atomic<int> served{0}, others{0};
@@ -210,12 +211,12 @@
   for (auto& client : clients) client.join();
   EXPECT_GT(served, 200);
   EXPECT_EQ(served + others, 2000);
-  EXPECT_TRUE(InTheEnd([&] { return FiguresOf(fleet.of("g0").admin)["fleet_works_open"] == 0; }));
-  EXPECT_EQ(FiguresOf(fleet.of("g0").admin)["fleet_sure"], 1);
+  EXPECT_TRUE(Eventually([&] { return AdminMetrics(fleet.of("g0").admin)["fleet_works_open"] == 0; }));
+  EXPECT_EQ(AdminMetrics(fleet.of("g0").admin)["fleet_sure"], 1);
 }
 
 TEST(TakeOver, AKeyIsOfOneBodyAndOneCustomer) {
-  Effects effects;
+  RecordingBackend effects;
   Fleet fleet({}, Listed(effects));
   fleet.Start("g0");
   fleet.Start("g1");
@@ -231,14 +232,14 @@
 }
 
 TEST(TakeOver, AnAnswerTooLongToBeKeptIsNotGotAgain) {
-  Effects effects(std::string(2000, '.'));
+  RecordingBackend effects(std::string(2000, '.'));
   FleetOptions options;
   options.ledger["most_answer"] = 1000;
   Fleet fleet(options, Listed(effects));
   fleet.Start("g0");
   fleet.Start("g1");
   EXPECT_EQ(Ask(*fleet.of("g0").Connect(), Own("send-lead", "k")).status(), 200);
-  ASSERT_TRUE(InTheEnd([&] { return FiguresOf(fleet.of("g0").admin)["fleet_works_open"] == 0; }));
+  ASSERT_TRUE(Eventually([&] { return AdminMetrics(fleet.of("g0").admin)["fleet_works_open"] == 0; }));
   Message back = Ask(*fleet.of("g1").Connect(), Own("send-lead", "k"));
   EXPECT_EQ(back.status(), 409);
   EXPECT_EQ(back.Header("Work"), "answer-not-kept");
@@ -247,14 +248,14 @@
 
 // The gateway's own process begins again, under its name: what it had is claimed from the one before.
 TEST(TakeOver, BackToTheSameGatewayBegunAnew) {
-  Effects effects;
+  RecordingBackend effects;
   Fleet fleet({}, Listed(effects));
   fleet.Start("g0");
   effects.Hold(true);
   std::string request = Own("save-scenario", "k");
   auto client = fleet.of("g0").Connect();
   client->Write(request);
-  ASSERT_TRUE(effects.met.Wait());
+  ASSERT_TRUE(effects.received.Wait());
   fleet.Kill("g0");
   effects.Hold(false);
   fleet.Start("g0");
@@ -265,7 +266,7 @@
 
 // Another process holds the file: what needs the engine's word is refused, safe work goes on and is told so.
 TEST(TakeOver, WithoutTheEnginesWord) {
-  Effects effects;
+  RecordingBackend effects;
   FleetOptions options;
   options.ledger["patience_s"] = 0.3;
   options.lease_s = 30;
@@ -286,11 +287,11 @@
   Message safe = Ask(*fleet.of("g0").Connect(), Own("quote", "k"));
   EXPECT_EQ(safe.status(), 200);
   EXPECT_EQ(safe.Header("Work"), "without-record");
-  EXPECT_EQ(FiguresOf(fleet.of("g0").admin)["fleet_works_refused"], 2);
+  EXPECT_EQ(AdminMetrics(fleet.of("g0").admin)["fleet_works_refused"], 2);
   ASSERT_EQ(sqlite3_exec(file, "COMMIT", nullptr, nullptr, nullptr), SQLITE_OK);
   sqlite3_close(file);
   EXPECT_TRUE(
-      InTheEnd([&] { return Ask(*fleet.of("g0").Connect(), Own("send-lead", "k2")).status() == 200; }));
+      Eventually([&] { return Ask(*fleet.of("g0").Connect(), Own("send-lead", "k2")).status() == 200; }));
 }
 
 }  // namespace
--- a/tests/golden/stored_formats_test.cpp
+++ b/tests/golden/stored_formats_test.cpp
@@ -11,7 +11,7 @@
 #include "ledger/book.h"
 #include "ledger/record.h"
 #include "membership/member.h"
-#include "parts/lending.h"
+#include "parts/share_lease.h"
 #include "rig/golden.h"
 #include "shared/redis_engine.h"
 #include "shared/sqlite_store.h"
@@ -133,12 +133,13 @@
     EXPECT_EQ(ivygw::membership::Write(member), text);
     EXPECT_EQ(ivygw::membership::Write(ivygw::membership::Read("n0", text)), text);
   }
-  EXPECT_EQ(ivygw::parts::Write({.share = 0.25, .need = 0.5, .since = 77}), "1 0.250000000 0.500000000 77");
-  ivygw::parts::Loan loan = ivygw::parts::ReadLoan("1 0.250000000 0.500000000 77");
+  EXPECT_EQ(ivygw::parts::SerializeShareLease({.share = 0.25, .demand = 0.5, .waiting_since = 77}),
+            "1 0.250000000 0.500000000 77");
+  ivygw::parts::ShareLease loan = ivygw::parts::ParseShareLease("1 0.250000000 0.500000000 77");
   EXPECT_EQ(loan.share, 0.25);
-  EXPECT_EQ(loan.need, 0.5);
-  EXPECT_EQ(loan.since, 77u);
-  EXPECT_EQ(ivygw::parts::Borrower::Prefix("00ff"), "loan/00ff/");
+  EXPECT_EQ(loan.demand, 0.5);
+  EXPECT_EQ(loan.waiting_since, 77u);
+  EXPECT_EQ(ivygw::parts::ShareLeaseClient::KeyPrefix("00ff"), "loan/00ff/");
 }
 
 // A commit that writes, renews, removes and expires, as it stands in an engine afterwards.
--- a/tests/parts/ceiling_test.cpp
+++ b/tests/parts/ceiling_test.cpp
@@ -18,211 +18,212 @@
 namespace {
 
 // The rule, by a store that is full at first, gains the rate and is never forgiven.
-struct Rule {
-  double level = 0, at = 0;  // units gone from the store
-  bool Keeps(const Allowance& a, double now, double units) {
-    level = std::max(0.0, level - a.rate * (now - at)) + units;
-    at = now;
-    return level <= a.store + 1e-6;
+struct ReferenceBucket {
+  double used = 0, updated_at = 0;  // units gone from the store
+  bool Admit(const CeilingParams& params, double now, double units) {
+    used = std::max(0.0, used - params.rate * (now - updated_at)) + units;
+    updated_at = now;
+    return used <= params.burst + 1e-6;
   }
 };
 
-TEST(Allowance, IsCutByWhatAnEvenPartHolds) {
-  EXPECT_EQ((Allowance{20, 44.6, 1, 8}.EvenShare()), 1) << "one gateway asks nobody";
-  EXPECT_EQ((Allowance{20, 44.6, 2, 8}.EvenShare()), 0.5);
-  EXPECT_EQ((Allowance{20, 44.6, 2, 8, false}.EvenShare()), 1) << "no counter to reserve at";
-  EXPECT_EQ((Allowance{20, 44.6, 300, 8, false}.EvenShare()), 1);
-  EXPECT_EQ((Allowance{20, 44.6, 11, 8}.EvenShare()), 0.5);
-  EXPECT_EQ((Allowance{20, 44.6, 12, 8}.EvenShare()), 0)
+TEST(CeilingParams, IsCutByWhatAnEvenPartHolds) {
+  EXPECT_EQ((CeilingParams{20, 44.6, 1, 8}.LocalFraction()), 1) << "one gateway asks nobody";
+  EXPECT_EQ((CeilingParams{20, 44.6, 2, 8}.LocalFraction()), 0.5);
+  EXPECT_EQ((CeilingParams{20, 44.6, 2, 8, false}.LocalFraction()), 1) << "no counter to reserve at";
+  EXPECT_EQ((CeilingParams{20, 44.6, 300, 8, false}.LocalFraction()), 1);
+  EXPECT_EQ((CeilingParams{20, 44.6, 11, 8}.LocalFraction()), 0.5);
+  EXPECT_EQ((CeilingParams{20, 44.6, 12, 8}.LocalFraction()), 0)
       << "a part holds less than half of the largest request";
-  EXPECT_EQ((Allowance{20, 44.6, 300, 8}.EvenShare()), 0);
-  EXPECT_DOUBLE_EQ((Allowance{20, 44.6, 300, 8}.Limit()), 22.3);
-  EXPECT_DOUBLE_EQ((Allowance{20, 44.6, 300, 8}.WindowS()), 1.115);
+  EXPECT_EQ((CeilingParams{20, 44.6, 300, 8}.LocalFraction()), 0);
+  EXPECT_DOUBLE_EQ((CeilingParams{20, 44.6, 300, 8}.WindowLimit()), 22.3);
+  EXPECT_DOUBLE_EQ((CeilingParams{20, 44.6, 300, 8}.WindowSeconds()), 1.115);
 }
 
 // With the last unit of one window and the first of the next, and on: the rule holds with nothing to spare.
 TEST(Ceiling, WindowsInARowHoldStoreAndRateAndUseThem) {
-  Allowance a{2, 8, 10, 4};  // windows of 2 s, 4 units each
-  ASSERT_EQ(a.EvenShare(), 0);
-  Ceiling one;
-  one.Begin(a, 0);
-  Rule rule;
-  double most = 0;
+  CeilingParams params{2, 8, 10, 4};  // windows of 2 s, 4 units each
+  ASSERT_EQ(params.LocalFraction(), 0);
+  CeilingLimiter limiter;
+  limiter.Initialize(params, 0);
+  ReferenceBucket bucket;
+  double max_used = 0;
   for (double now : {1.9, 2.0, 4.0, 6.0}) {
-    auto made = one.Reserve(a, 4, now);
-    ASSERT_TRUE(made);
-    ASSERT_TRUE(one.Take(a, *made, true, 4));
-    ASSERT_GE(one.Room(a, now), 4);
-    one.Spend(a, 4, now);
-    EXPECT_TRUE(rule.Keeps(a, now, 4));
-    most = std::max(most, rule.level);
+    auto reservation = limiter.Reserve(params, 4, now);
+    ASSERT_TRUE(reservation);
+    ASSERT_TRUE(limiter.CompleteReservation(params, *reservation, true, 4));
+    ASSERT_GE(limiter.AvailableUnits(params, now), 4);
+    limiter.Spend(params, 4, now);
+    EXPECT_TRUE(bucket.Admit(params, now, 4));
+    max_used = std::max(max_used, bucket.used);
   }
-  EXPECT_NEAR(most, 8, 0.21) << "a bound that nothing comes near says little";
+  EXPECT_NEAR(max_used, 8, 0.21) << "a bound that nothing comes near says little";
 }
 
 TEST(Ceiling, ATotalThatWentDownGrantsNothing) {
-  Allowance a{2, 20, 40, 4};
-  Ceiling one;
-  auto made = one.Reserve(a, 2, 1);
-  EXPECT_TRUE(one.Take(a, *made, true, 7));
-  one.Spend(a, 2, 1);
-  made = one.Reserve(a, 2, 1);
-  EXPECT_FALSE(one.Take(a, *made, true, 2)) << "it was 7 before";
-  EXPECT_EQ(one.Room(a, 1), 0);
+  CeilingParams params{2, 20, 40, 4};
+  CeilingLimiter limiter;
+  auto reservation = limiter.Reserve(params, 2, 1);
+  EXPECT_TRUE(limiter.CompleteReservation(params, *reservation, true, 7));
+  limiter.Spend(params, 2, 1);
+  reservation = limiter.Reserve(params, 2, 1);
+  EXPECT_FALSE(limiter.CompleteReservation(params, *reservation, true, 2)) << "it was 7 before";
+  EXPECT_EQ(limiter.AvailableUnits(params, 1), 0);
 }
 
 TEST(Ceiling, SeveralRequestsRideOnOneReservation) {
-  Allowance a{2, 40, 40, 4};
-  Ceiling one;
-  auto made = one.Reserve(a, 2, 1);
-  ASSERT_TRUE(made);
-  EXPECT_FALSE(one.Reserve(a, 3, 1)) << "one is out";
-  EXPECT_FALSE(one.Reserve(a, 1, 1));
-  one.Take(a, *made, true, 2);
-  auto next = one.Reserve(a, 0, 1);
+  CeilingParams params{2, 40, 40, 4};
+  CeilingLimiter limiter;
+  auto reservation = limiter.Reserve(params, 2, 1);
+  ASSERT_TRUE(reservation);
+  EXPECT_FALSE(limiter.Reserve(params, 3, 1)) << "one is out";
+  EXPECT_FALSE(limiter.Reserve(params, 1, 1));
+  limiter.CompleteReservation(params, *reservation, true, 2);
+  auto next = limiter.Reserve(params, 0, 1);
   ASSERT_TRUE(next);
   EXPECT_EQ(next->units, 4);
 }
 
 TEST(Ceiling, AGrantEndsWithItsWindow) {
-  Allowance a{2, 8, 10, 4};
-  Ceiling one;
-  auto made = one.Reserve(a, 3, 1.9);
-  one.Take(a, *made, true, 3);
-  EXPECT_EQ(one.Room(a, 1.95), 3);
-  EXPECT_EQ(one.Room(a, 2.05), 0);
+  CeilingParams params{2, 8, 10, 4};
+  CeilingLimiter limiter;
+  auto reservation = limiter.Reserve(params, 3, 1.9);
+  limiter.CompleteReservation(params, *reservation, true, 3);
+  EXPECT_EQ(limiter.AvailableUnits(params, 1.95), 3);
+  EXPECT_EQ(limiter.AvailableUnits(params, 2.05), 0);
 }
 
 // All that can happen to three gateways and the counter between them, in any order.
-class Search {
+class StateSpaceSearch {
  public:
   // `broken`: a lost answer is taken for a grant, to see that the search finds what it is for.
-  Search(const Allowance& a, int depth, bool broken) : a_(a), depth_(depth), broken_(broken) {}
+  StateSpaceSearch(const CeilingParams& params, int depth, bool trust_lost_replies)
+      : params_(params), depth_(depth), trust_lost_replies_(trust_lost_replies) {}
 
   // False where the rule was broken.
   bool Run() {
     State s;
-    for (Ceiling& c : s.gateways) c.Begin(a_, 0);
-    return Go(s, depth_);
+    for (CeilingLimiter& c : s.gateways) c.Initialize(params_, 0);
+    return Explore(s, depth_);
   }
-  size_t states() const { return seen_.size(); }
+  size_t states() const { return visited_.size(); }
   size_t sends() const { return sends_; }
 
  private:
   static constexpr double kStepS = 0.5;
-  struct Late {
+  struct DelayedCall {
     int64_t window = 0;
     double units = 0;
   };
   struct State {
-    Ceiling gateways[3];
-    std::optional<Ceiling::Reservation> out[3];
+    CeilingLimiter gateways[3];
+    std::optional<CeilingLimiter::Reservation> pending[3];
     std::map<int64_t, double> totals;
-    std::vector<Late> late;  // given up, and still on the way to the counter
-    Rule rule;
+    std::vector<DelayedCall> delayed;  // given up, and still on the way to the counter
+    ReferenceBucket bucket;
     double now = 0;
   };
 
-  static std::string Key(const State& s, int left) {
+  static std::string Key(const State& s, int steps_left) {
     std::string key;
     auto add = [&key](double x) { key.append(reinterpret_cast<const char*>(&x), sizeof(x)); };
-    for (const Ceiling& c : s.gateways) {
+    for (const CeilingLimiter& c : s.gateways) {
       for (double x : c.State()) add(x);
     }
-    for (const auto& out : s.out) {
-      add(out ? static_cast<double>(out->window) : -1);
-      add(out ? out->units : 0);
+    for (const auto& pending : s.pending) {
+      add(pending ? static_cast<double>(pending->window) : -1);
+      add(pending ? pending->units : 0);
     }
     for (const auto& [window, total] : s.totals) {
       add(static_cast<double>(window));
       add(total);
     }
     add(-2);
-    for (const Late& l : s.late) {
+    for (const DelayedCall& l : s.delayed) {
       add(static_cast<double>(l.window));
       add(l.units);
     }
-    add(s.rule.level - a_rate * (s.now - s.rule.at));
+    add(s.bucket.used - kRate * (s.now - s.bucket.updated_at));
     add(s.now);
-    key.push_back(static_cast<char>(left));
+    key.push_back(static_cast<char>(steps_left));
     return key;
   }
 
-  bool Go(const State& s, int left) {
-    if (left == 0 || !seen_.insert(Key(s, left)).second) return true;
+  bool Explore(const State& s, int steps_left) {
+    if (steps_left == 0 || !visited_.insert(Key(s, steps_left)).second) return true;
     {
       State t = s;  // time goes on
       t.now += kStepS;
-      for (Ceiling& c : t.gateways) c.Refill(a_, kStepS);
-      if (t.now <= 2 && !Go(t, left - 1)) return false;
+      for (CeilingLimiter& c : t.gateways) c.Refill(params_, kStepS);
+      if (t.now <= 2 && !Explore(t, steps_left - 1)) return false;
     }
-    for (size_t i = 0; i < s.late.size(); ++i) {
+    for (size_t i = 0; i < s.delayed.size(); ++i) {
       State t = s;
-      t.totals[t.late[i].window] += t.late[i].units;
-      t.late.erase(t.late.begin() + static_cast<long>(i));
-      if (!Go(t, left - 1)) return false;
+      t.totals[t.delayed[i].window] += t.delayed[i].units;
+      t.delayed.erase(t.delayed.begin() + static_cast<long>(i));
+      if (!Explore(t, steps_left - 1)) return false;
     }
     for (int g = 0; g < 3; ++g) {
-      if (!OfGateway(s, g, left)) return false;
+      if (!ExploreGateway(s, g, steps_left)) return false;
     }
     return true;
   }
 
-  bool OfGateway(const State& s, int g, int left) {
+  bool ExploreGateway(const State& s, int g, int steps_left) {
     for (double units : {1.0, 3.0}) {
       State t = s;
-      Ceiling& c = t.gateways[g];
-      if (c.Room(a_, t.now) >= units) {
-        c.Spend(a_, units, t.now);
+      CeilingLimiter& c = t.gateways[g];
+      if (c.AvailableUnits(params_, t.now) >= units) {
+        c.Spend(params_, units, t.now);
         ++sends_;
-        if (!t.rule.Keeps(a_, t.now, units)) return false;
-        if (!Go(t, left - 1)) return false;
-      } else if (!t.out[g] && c.MayReserve(a_, units, t.now)) {
-        t.out[g] = c.Reserve(a_, units, t.now);
-        if (!Go(t, left - 1)) return false;
+        if (!t.bucket.Admit(params_, t.now, units)) return false;
+        if (!Explore(t, steps_left - 1)) return false;
+      } else if (!t.pending[g] && c.CanReserve(params_, units, t.now)) {
+        t.pending[g] = c.Reserve(params_, units, t.now);
+        if (!Explore(t, steps_left - 1)) return false;
       }
     }
-    if (s.out[g]) {
-      Ceiling::Reservation call = *s.out[g];
-      auto end = [&](bool adds, bool told, bool late) {
+    if (s.pending[g]) {
+      CeilingLimiter::Reservation call = *s.pending[g];
+      auto end = [&](bool added, bool reply_received, bool delayed) {
         State t = s;
-        if (adds) t.totals[call.window] += call.units;
-        if (late) t.late.push_back({call.window, call.units});
-        double total = told ? t.totals[call.window] : call.units;
-        t.gateways[g].Take(a_, call, told || broken_, total);
-        t.out[g].reset();
-        return Go(t, left - 1);
+        if (added) t.totals[call.window] += call.units;
+        if (delayed) t.delayed.push_back({call.window, call.units});
+        double total = reply_received ? t.totals[call.window] : call.units;
+        t.gateways[g].CompleteReservation(params_, call, reply_received || trust_lost_replies_, total);
+        t.pending[g].reset();
+        return Explore(t, steps_left - 1);
       };
       if (!end(true, true, false) || !end(true, false, false) || !end(false, false, false) ||
           !end(false, false, true))
         return false;
     }
     State t = s;  // killed, and back from nothing; its call is still on the way
-    if (t.out[g]) t.late.push_back({t.out[g]->window, t.out[g]->units});
-    t.out[g].reset();
-    t.gateways[g] = Ceiling();
-    t.gateways[g].Begin(a_, 0);
-    return Go(t, left - 1);
+    if (t.pending[g]) t.delayed.push_back({t.pending[g]->window, t.pending[g]->units});
+    t.pending[g].reset();
+    t.gateways[g] = CeilingLimiter();
+    t.gateways[g].Initialize(params_, 0);
+    return Explore(t, steps_left - 1);
   }
 
-  static constexpr double a_rate = 4;
-  const Allowance a_;
+  static constexpr double kRate = 4;
+  const CeilingParams params_;
   const int depth_;
-  const bool broken_;
-  std::unordered_set<std::string> seen_;
+  const bool trust_lost_replies_;
+  std::unordered_set<std::string> visited_;
   size_t sends_ = 0;
 };
 
 TEST(Ceiling, NoOrderOfThreeGatewaysPassesTheWhole) {
-  for (double largest : {6.0, 4.0}) {  // all of it pooled; half of it cut evenly
-    Allowance a{4, 8, 3, largest};
-    Search search(a, 8, false);
+  for (double max_request_units : {6.0, 4.0}) {  // all of it pooled; half of it cut evenly
+    CeilingParams params{4, 8, 3, max_request_units};
+    StateSpaceSearch search(params, 8, false);
     EXPECT_TRUE(search.Run());
     EXPECT_GT(search.sends(), 1000u);
-    std::printf("largest request %.0f: %zu states, %zu sends, none past the ceiling\n", largest,
+    std::printf("largest request %.0f: %zu states, %zu sends, none past the ceiling\n", max_request_units,
                 search.states(), search.sends());
   }
-  EXPECT_FALSE(Search({4, 8, 3, 6}, 10, true).Run()) << "a lost answer taken for a grant passes it";
+  EXPECT_FALSE(StateSpaceSearch({4, 8, 3, 6}, 10, true).Run()) << "a lost answer taken for a grant passes it";
 }
 
 TEST(Ceiling, FortyGatewaysUnderAnyLossesKeepTheWhole) {
@@ -230,52 +231,52 @@
   for (uint64_t seed = 1; seed <= 1000; ++seed) {
     std::mt19937_64 random(seed);
     auto draw = [&] { return std::uniform_real_distribution<>(0, 1)(random); };
-    Allowance a{20, 44.6, draw() < 0.5 ? 40.0 : 8.0, 8};
-    std::vector<Ceiling> gateways(static_cast<size_t>(a.gateways));
-    for (Ceiling& c : gateways) c.Begin(a, 0);
-    std::vector<std::optional<Ceiling::Reservation>> out(gateways.size());
-    std::vector<Ceiling::Reservation> late;
+    CeilingParams params{20, 44.6, draw() < 0.5 ? 40.0 : 8.0, 8};
+    std::vector<CeilingLimiter> gateways(static_cast<size_t>(params.gateway_count));
+    for (CeilingLimiter& c : gateways) c.Initialize(params, 0);
+    std::vector<std::optional<CeilingLimiter::Reservation>> pending(gateways.size());
+    std::vector<CeilingLimiter::Reservation> delayed;
     std::map<int64_t, double> totals;
-    Rule rule;
+    ReferenceBucket bucket;
     double now = 100 * draw(), loss = 0.3 * draw(), demand = 1 + 6 * draw();
-    std::vector<double> wants(gateways.size());
+    std::vector<double> pending_units(gateways.size());
     for (int step = 0; step < 2000; ++step) {
-      double dt = -std::log(1 - draw()) / (a.rate * demand);
+      double dt = -std::log(1 - draw()) / (params.rate * demand);
       now += dt;
-      for (Ceiling& c : gateways) c.Refill(a, dt);
-      if (!late.empty() && draw() < 0.1) {
-        totals[late.back().window] += late.back().units;
-        late.pop_back();
+      for (CeilingLimiter& c : gateways) c.Refill(params, dt);
+      if (!delayed.empty() && draw() < 0.1) {
+        totals[delayed.back().window] += delayed.back().units;
+        delayed.pop_back();
       }
       size_t g = static_cast<size_t>(draw() * static_cast<double>(gateways.size()));
-      Ceiling& c = gateways[g];
+      CeilingLimiter& c = gateways[g];
       if (draw() < 0.002) {
-        if (out[g]) late.push_back(*out[g]);
-        out[g].reset();
-        c = Ceiling();
-        c.Begin(a, 0);
+        if (pending[g]) delayed.push_back(*pending[g]);
+        pending[g].reset();
+        c = CeilingLimiter();
+        c.Initialize(params, 0);
         continue;
       }
       double units = 1 + std::floor(8 * draw() * draw());
-      if (out[g]) {
+      if (pending[g]) {
         bool lost = draw() < loss;
         if (lost) {
-          if (draw() < 0.5) late.push_back(*out[g]);
-          c.Take(a, *out[g], false, 0);
+          if (draw() < 0.5) delayed.push_back(*pending[g]);
+          c.CompleteReservation(params, *pending[g], false, 0);
         } else {
-          double total = totals[out[g]->window] += out[g]->units;
-          ASSERT_TRUE(c.Take(a, *out[g], true, total));
+          double total = totals[pending[g]->window] += pending[g]->units;
+          ASSERT_TRUE(c.CompleteReservation(params, *pending[g], true, total));
         }
-        out[g].reset();
-        units = wants[g];
+        pending[g].reset();
+        units = pending_units[g];
       }
-      if (c.Room(a, now) >= units) {
-        c.Spend(a, units, now);
-        ASSERT_TRUE(rule.Keeps(a, now, units)) << "seed " << seed;
-        used = std::max(used, rule.level);
-      } else if (c.MayReserve(a, units, now)) {
-        out[g] = c.Reserve(a, units, now);
-        wants[g] = units;
+      if (c.AvailableUnits(params, now) >= units) {
+        c.Spend(params, units, now);
+        ASSERT_TRUE(bucket.Admit(params, now, units)) << "seed " << seed;
+        used = std::max(used, bucket.used);
+      } else if (c.CanReserve(params, units, now)) {
+        pending[g] = c.Reserve(params, units, now);
+        pending_units[g] = units;
       }
     }
   }
--- a/tests/rig/fleet_rig.h
+++ b/tests/rig/fleet_rig.h
@@ -21,7 +21,7 @@
 namespace rig {
 
 // All that an operator's call is answered with, to the end of its connection.
-inline std::string Call(int port, const std::string& call) {
+inline std::string AdminCall(int port, const std::string& call) {
   auto wire = Wire::To(port);
   wire->Write(call + "\n");
   while (wire->More()) {
@@ -29,19 +29,19 @@
   return wire->unread;
 }
 
-inline std::map<std::string, long> FiguresOf(int port) {
-  std::map<std::string, long> figures;
-  std::istringstream lines(Call(port, "vars"));
+inline std::map<std::string, long> AdminMetrics(int port) {
+  std::map<std::string, long> metrics;
+  std::istringstream lines(AdminCall(port, "vars"));
   for (std::string line; std::getline(lines, line);) {
     size_t at = line.find('=');
-    if (at != std::string::npos) figures[line.substr(0, at)] = std::atol(line.c_str() + at + 1);
+    if (at != std::string::npos) metrics[line.substr(0, at)] = std::atol(line.c_str() + at + 1);
   }
-  return figures;
+  return metrics;
 }
 
 // Asked again and again until it holds; what never does fails the test.
 template <typename Holds>
-bool InTheEnd(Holds holds) {
+bool Eventually(Holds holds) {
   for (int i = 0; i < kLimitS * 50; ++i) {
     if (holds()) return true;
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
@@ -51,21 +51,21 @@
 
 // A backend that does what it is asked for, once for each key as its group remembers, and tells how often it
 // did it.
-class Effects {
+class RecordingBackend {
  public:
   // Each of these waits until it may go on.
-  explicit Effects(std::string padding = "")
+  explicit RecordingBackend(std::string padding = "")
       : backend([this, padding = std::move(padding)](const Message& m, Wire&) {
           std::string key = m.Header("Work-Key"), again = m.Header("Idempotency-Key");
           std::unique_lock lock(mutex_);
           ++attempts_[key];
-          met.Add();
+          received.Add();
           changed_.wait(lock, [&] { return !holding_; });
           if (again.empty() || done_.insert(again).second) ++runs_[key];
           return Ok(key + " done " + std::to_string(runs_[key]) + " times" + padding,
                     "Content-Type: text/x-done\r\n");
         }) {}
-  ~Effects() { Hold(false); }
+  ~RecordingBackend() { Hold(false); }
   void Hold(bool holds) {
     std::lock_guard lock(mutex_);
     holding_ = holds;
@@ -79,7 +79,7 @@
     std::lock_guard lock(mutex_);
     return attempts_[key];
   }
-  Event met;  // a request has come
+  Event received;  // a request has come
 
  private:
   std::mutex mutex_;
@@ -146,8 +146,8 @@
     auto p = std::make_unique<Process>(ConfigOf(name), options_.program, 0, environment);
     EXPECT_NE(p->port, 0) << p->line;
     Process& process = *(gateways_[name] = std::move(p));
-    EXPECT_TRUE(InTheEnd([&] { return FiguresOf(process.admin)["fleet_sure"] == 1; })) << name;
-    EXPECT_TRUE(InTheEnd(
+    EXPECT_TRUE(Eventually([&] { return AdminMetrics(process.admin)["fleet_sure"] == 1; })) << name;
+    EXPECT_TRUE(Eventually(
         [&] { return Ask(*process.Connect(), "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200; }));
     return process;
   }
@@ -168,7 +168,7 @@
   // As the gateway sees them: names of who is there.
   std::set<std::string> Seen(const std::string& name) {
     std::set<std::string> seen;
-    std::istringstream lines(Call(of(name).admin, "members"));
+    std::istringstream lines(AdminCall(of(name).admin, "members"));
     for (std::string line; std::getline(lines, line);) {
       std::istringstream words(line);
       std::string who, state;
