--- a/src/fleet/node.cpp
+++ b/src/fleet/node.cpp
@@ -19,9 +19,9 @@
 namespace ivygw::fleet {
 namespace {
 
-constexpr double kTimerMarginS = 1e-4;  // past a due time
+constexpr double kTimerMarginS = 1e-4;  // added to timers, so that they never fire before `due`
 
-// Goes on while the machine sleeps, and nobody sets it.
+// CLOCK_BOOTTIME also advances while the machine is suspended, and cannot be set.
 double MonotonicSeconds() {
   timespec now{};
   clock_gettime(CLOCK_BOOTTIME, &now);
@@ -35,7 +35,7 @@
   return text;
 }
 
-// `mailbox` outlives it.
+// `mailbox` must outlive the engine.
 std::unique_ptr<shared::Engine> MakeEngine(asio::io_context& io, Mailbox* mailbox, const Settings& s) {
   if (s.engine == Settings::Engine::kRedis) {
     shared::RedisOptions options;
@@ -59,7 +59,7 @@
       make, [mailbox](std::function<void()> task) { mailbox->Post(std::move(task)); });
 }
 
-// The desk on an event loop. What it asks for after its end does nothing.
+// Runs a NodeAgent on an event loop. Tasks posted before its destruction are dropped after it.
 class Node : public FleetPort {
  public:
   Node(asio::io_context& io, const Config& config, FleetEvents events)
@@ -68,7 +68,7 @@
         timer_(io),
         mailbox_(io),
         engine_(MakeEngine(io, &mailbox_, *config.fleet)) {
-    if (sodium_init() < 0) throw micadock::WireError("fleet: no hashing is to be had");
+    if (sodium_init() < 0) throw micadock::WireError("fleet: libsodium could not be initialized");
     NodeAgentEnvironment env;
     env.now = MonotonicSeconds;
     env.random_unit = [this] { return dice_.Unit(); };
@@ -124,7 +124,7 @@
   micadock::Dice dice_;
   asio::steady_timer timer_;
   double timer_due_ = 0;
-  Mailbox mailbox_;  // of the engine's own thread, if it has one
+  Mailbox mailbox_;  // for tasks from the engine's own thread, if it has one
   std::unique_ptr<shared::Engine> engine_;
   std::unique_ptr<NodeAgent> agent_;
 };
--- a/src/fleet/node.h
+++ b/src/fleet/node.h
@@ -1,5 +1,4 @@
-// One gateway of a fleet on its event loop: the engine, its membership and its ledger of works, driven by
-// sockets and timers. Keeps no book of its own. One thread.
+// Runs the NodeAgent of one gateway on an event loop, with the configured engine. Not thread-safe.
 #ifndef IVYGW_FLEET_NODE_H_
 #define IVYGW_FLEET_NODE_H_
 
@@ -9,7 +8,7 @@
 
 namespace ivygw::fleet {
 
-// The configuration has a section `fleet`.
+// `config` must have a section `fleet`.
 std::unique_ptr<FleetPort> MakeNode(asio::io_context& io, const Config& config, FleetEvents events);
 
 }  // namespace ivygw::fleet
--- a/src/fleet/node_agent.cpp
+++ b/src/fleet/node_agent.cpp
@@ -16,7 +16,7 @@
 using membership::Membership;
 using shared::Reply;
 
-constexpr double kLeaveTimeoutS = 0.5;  // for which the engine's word is waited for at the end
+constexpr double kLeaveTimeoutS = 0.5;  // how long Left waits for the engine
 constexpr double kFailureLogIntervalS = 5;
 
 membership::Options MembershipOptionsFrom(const Config& config) {
@@ -48,7 +48,7 @@
   options.patience_s = l.engine_timeout_s;
   options.most_answer = static_cast<size_t>(l.max_answer_bytes);
   options.most_open = static_cast<size_t>(l.max_open_requests);
-  auto rule = [](bool goes_on) { return goes_on ? ledger::Without::kGoOn : ledger::Without::kRefuse; };
+  auto rule = [](bool serve) { return serve ? ledger::Without::kGoOn : ledger::Without::kRefuse; };
   options.safe = rule(l.serve_safe_unrecorded);
   options.keyed = rule(l.serve_keyed_unrecorded);
   options.unsafe = rule(l.serve_unsafe_unrecorded);
@@ -73,7 +73,7 @@
       env_(std::move(env)),
       boot_id_(boot),
       membership_(MembershipOptionsFrom(config), LocalMember(config, boot), env_.random_unit),
-      book_(LedgerOptionsFrom(config, boot), [this](double now) { return RightAt(now); }),
+      book_(LedgerOptionsFrom(config, boot), [this](double now) { return MembershipProof(now); }),
       lease_manager_(LeaseManagerOptionsFrom(config, boot),
                      [this](double now) -> std::optional<shared::Condition> {
                        if (now < leases_allowed_from_ || !membership_.Sure(now)) return std::nullopt;
@@ -126,16 +126,16 @@
 
 bool NodeAgent::Answered(uint64_t client, int status, const std::string& type, const std::string& body) {
   StopPoint("answered, not recorded");
-  bool now_out = true;
+  bool send_now = true;
   Dispatch(
-      [&](double now) { now_out = book_.OnAnswer(now, client, status, type, body, &ledger_decisions_); });
-  return now_out;
+      [&](double now) { send_now = book_.OnAnswer(now, client, status, type, body, &ledger_decisions_); });
+  return send_now;
 }
 
 bool NodeAgent::ClientGone(uint64_t client) {
-  bool goes_on = false;
-  Dispatch([&](double now) { goes_on = book_.OnClientGone(now, client, &ledger_decisions_); });
-  return goes_on;
+  bool continues = false;
+  Dispatch([&](double now) { continues = book_.OnClientGone(now, client, &ledger_decisions_); });
+  return continues;
 }
 
 void NodeAgent::Serving() {
@@ -216,13 +216,13 @@
   return out;
 }
 
-std::optional<ledger::Book::Right> NodeAgent::RightAt(double now) const {
+std::optional<ledger::Book::Right> NodeAgent::MembershipProof(double now) const {
   if (!membership_.Sure(now)) return std::nullopt;
   return ledger::Book::Right{membership_.Right(), membership_.fence().revision};
 }
 
-// One event of the books: what comes of it is done when their call has returned, and what comes meanwhile
-// waits.
+// Handles one event of the components, then carries out the calls and decisions that it produced. Events that
+// arrive from within that loop only add to the queues.
 template <typename Event>
 void NodeAgent::Dispatch(Event event) {
   event(env_.now());
@@ -260,7 +260,7 @@
   double now = env_.now();
   if (now < last_failure_logged_at_ + kFailureLogIntervalS) return;
   last_failure_logged_at_ = now;
-  env_.log(std::string("the fleet's engine: ") + shared::FaultName(reply.fault) + ": " + reply.why);
+  env_.log(std::string("shared engine: ") + shared::FaultName(reply.fault) + ": " + reply.why);
 }
 
 void NodeAgent::Apply(ledger::Ask& ask) {
@@ -273,7 +273,7 @@
   });
 }
 
-// What goes back to the gateway runs in a turn of its own, since its own call may be under way.
+// Events for the gateway are posted, since one of its own calls may be on the stack.
 void NodeAgent::Apply(ledger::Admit& a) {
   FleetEvents::Admission admission;
   admission.client = a.client;
@@ -289,8 +289,8 @@
 void NodeAgent::Apply(ledger::Tell& t) {
   env_.post([this, t] { events_.tell(t.client, t.status, t.retry_after_s, t.type, t.body, t.why); });
 }
-// Who has slept past its lease since its intent was made durable sends nothing: the work may be another's by
-// now. What is left is a pause within the turn that writes.
+// If the lease has ended since the intent was made durable, nothing is sent: another gateway may have taken
+// the request over. A pause after this check, while the attempt is being written, remains possible.
 void NodeAgent::Apply(ledger::IntentTold& t) {
   env_.post([this, t] {
     StopPoint("is to send");
@@ -307,8 +307,9 @@
   env_.post([this, client = r.client] { events_.release(client); });
 }
 
-// Shares go to the gateway before the calls that came out with them go to the engine: what is given back is
-// not used any more when another may take it. A share's seconds are counted when it is told.
+// Reports changed shares to the gateway before the calls that came with them go to the engine: a released
+// share must no longer be used when another gateway may take it. The remaining seconds are computed on
+// delivery.
 void NodeAgent::ProcessShareLeases() {
   for (const parts::ShareLeaseManager::ShareUpdate& update : lease_manager_.TakeUpdates(env_.now())) {
     env_.post([this, update] {
@@ -325,16 +326,16 @@
   }
 }
 
-// What the view has come to.
+// Acts on changes of the membership view.
 void NodeAgent::ApplyMembershipView() {
   double now = env_.now();
-  std::pair<int, bool> told{std::max(1, membership_.Number(now)), membership_.Counts(now)};
-  if (told != reported_view_ && membership_.ViewAge(now) >= 0) {
-    reported_view_ = told;
-    env_.post([this, told] { events_.fleet(told.first, told.second); });
+  std::pair<int, bool> view{std::max(1, membership_.Number(now)), membership_.Counts(now)};
+  if (view != reported_view_ && membership_.ViewAge(now) >= 0) {
+    reported_view_ = view;
+    env_.post([this, view] { events_.fleet(view.first, view.second); });
   }
-  // Loans that an engine has forgotten are used until their leases end: whoever finds none there waits for as
-  // long.
+  // Shares whose records the engine has lost stay in use until their leases end; nothing new is requested for
+  // that time.
   bool joined = membership_.phase() != phase_ && membership_.phase() == membership::Phase::kMember;
   bool lost = std::exchange(engine_losses_, membership_.watermark().losses()) != engine_losses_;
   if (joined || lost) leases_allowed_from_ = now + config_.fleet->lease_s;
@@ -358,17 +359,17 @@
   }
   for (const std::string& boot : std::exchange(live_boots_, boots)) {
     if (boots.count(boot) != 0 || boot.empty()) continue;
-    // Each work falls to one of those that are there, by the highest draw of name and work.
+    // Rendezvous hashing: each request falls to the live member with the highest hash of request and name.
     book_.OnGone(
         now, boot,
-        [live, mine = config_.name](const std::string& work) {
-          std::string best, most;
-          std::string prefix = work + "/";
+        [live, own_name = config_.name](const std::string& request) {
+          std::string best_name, best_hash;
+          std::string prefix = request + "/";
           for (const std::string& name : live) {
-            std::string draw = ledger::HashOf(std::string(prefix).append(name));
-            if (draw > most) best = name, most = draw;
+            std::string hash = ledger::HashOf(std::string(prefix).append(name));
+            if (hash > best_hash) best_name = name, best_hash = hash;
           }
-          return best == mine;
+          return best_name == own_name;
         },
         &ledger_decisions_);
   }
--- a/src/fleet/node_agent.h
+++ b/src/fleet/node_agent.h
@@ -1,6 +1,7 @@
-// One gateway of a fleet without I/O or clock of its own: its membership and its ledger of works, their calls
-// to the shared engine, and what comes of them for the gateway. Driven by sockets and timers (node.h) or by
-// virtual time; keeps no book that its parts don't. One thread.
+// Connects one gateway to its fleet: drives its membership, its ledger of idempotent requests and its share
+// leases, sends their calls to the shared engine, and reports the results to the gateway. Has no I/O and no
+// clock of its own: driven by an event loop (node.h) or by virtual time. Keeps no records beyond those of its
+// three components. Not thread-safe.
 #ifndef IVYGW_FLEET_NODE_AGENT_H_
 #define IVYGW_FLEET_NODE_AGENT_H_
 
@@ -17,21 +18,22 @@
 
 namespace ivygw::fleet {
 
-// What it stands on. Times are seconds of a monotonic clock of this gateway.
+// What the agent needs from its host. Times are seconds of a monotonic clock of this gateway.
 struct NodeAgentEnvironment {
   std::function<double()> now;
-  std::function<double()> random_unit;  // numbers from 0, under 1
-  // The reply comes once, later; none may come any more once the desk has gone.
+  std::function<double()> random_unit;  // uniform in [0, 1)
+  // Replies once, asynchronously, and never after the agent has been destroyed.
   std::function<void(shared::Call, std::function<void(const shared::Reply&)>)> call_engine;
-  std::function<void(std::function<void()>)> post;  // in a turn of its own; not once the desk has gone
-  std::function<void(double due)> set_timer;        // OnTime is to be called then; the newest word holds
+  std::function<void(std::function<void()>)>
+      post;                                   // runs the task later; never after the agent has been destroyed
+  std::function<void(double due)> set_timer;  // calls OnTimer at `due`; replaces the timer set before
   std::function<void(const std::string& text)> log;
 };
 
 class NodeAgent : public FleetPort {
  public:
-  // `boot`: of this start of the process, unique for ever. `config` has a section `fleet`, and outlives the
-  // desk.
+  // `boot`: globally unique id of this start of the process. `config` must have a section `fleet` and outlive
+  // the agent.
   NodeAgent(const Config& config, const std::string& boot, FleetEvents events, NodeAgentEnvironment env);
 
   void Start();
@@ -56,7 +58,7 @@
   const ledger::Book& book() const { return book_; }
 
  private:
-  std::optional<ledger::Book::Right> RightAt(double now) const;
+  std::optional<ledger::Book::Right> MembershipProof(double now) const;
   template <typename Event>
   void Dispatch(Event event);
   void CallEngine(shared::Call call, std::function<void(double, const shared::Reply&)> then);
@@ -88,8 +90,8 @@
   std::pair<int, bool> reported_view_{0, true};
   membership::Phase phase_ = membership::Phase::kOut;
   uint64_t engine_losses_ = 0;
-  double leases_allowed_from_ =
-      1e300;  // a lease after it became a member, or heard that the engine has lost writes
+  // No share is requested before: one lease after joining, or after the engine was found to have lost writes.
+  double leases_allowed_from_ = 1e300;
   uint64_t membership_changes_ = 0, engine_failures_ = 0, ledger_call_count_ = 0;
   double last_failure_logged_at_ = -100;
   std::set<std::string> live_boots_;
--- a/src/fleet/settings.cpp
+++ b/src/fleet/settings.cpp
@@ -14,20 +14,21 @@
 using micadock::WireError;
 using nlohmann::json;
 
-std::string Bad(const std::string& name, const std::string& why) {
+std::string InvalidSetting(const std::string& name, const std::string& why) {
   return "setting is unreadable: " + name + " (" + why + ")";
 }
 
-// Readers of one object's fields: each names its own fault, and a field that nobody reads is one.
-class Fields {
+// Reads the fields of one JSON object. Each reader reports its own error; CheckUnknownFields reports unknown
+// fields.
+class FieldReader {
  public:
-  Fields(const json& from, std::string path, std::vector<std::string>* faults)
-      : from_(from), path_(std::move(path)), faults_(faults) {}
+  FieldReader(const json& object, std::string path, std::vector<std::string>* faults)
+      : object_(object), path_(std::move(path)), faults_(faults) {}
 
-  void Text(const char* key, std::string* to, size_t most = 200) {
+  void Text(const char* key, std::string* to, size_t max = 200) {
     Read(key, [&](const json& v, const std::string& name) {
-      if (!v.is_string() || v.get<std::string>().size() > most)
-        return Bad(name, "a text of " + std::to_string(most) + " bytes at most");
+      if (!v.is_string() || v.get<std::string>().size() > max)
+        return InvalidSetting(name, "a text of " + std::to_string(max) + " bytes at most");
       *to = v.get<std::string>();
       return std::string();
     });
@@ -36,24 +37,25 @@
     Read(key, [&](const json& v, const std::string& name) {
       auto it = v.is_string() ? choices.find(v.get<std::string>()) : choices.end();
       if (it != choices.end()) return it->second(), std::string();
-      std::string words;
-      for (const auto& [word, set] : choices) words += (words.empty() ? "" : ", ") + word;
-      return Bad(name, "one of " + words);
+      std::string allowed;
+      for (const auto& [choice, set] : choices) allowed += (allowed.empty() ? "" : ", ") + choice;
+      return InvalidSetting(name, "one of " + allowed);
     });
   }
-  void Number(const char* key, double least, double most, double* to) {
+  void Number(const char* key, double min, double max, double* to) {
     Read(key, [&](const json& v, const std::string& name) {
       double n = v.is_number() ? v.get<double>() : NAN;
-      if (!(n >= least && n <= most))
-        return Bad(name, "a number from " + json(least).dump() + " to " + json(most).dump());
+      if (!(n >= min && n <= max))
+        return InvalidSetting(name, "a number from " + json(min).dump() + " to " + json(max).dump());
       *to = n;
       return std::string();
     });
   }
-  void Whole(const char* key, int least, int most, int* to) {
+  void Integer(const char* key, int min, int max, int* to) {
     Read(key, [&](const json& v, const std::string& name) {
-      if (!v.is_number_integer() || v < least || v > most) {
-        return Bad(name, "a whole number from " + std::to_string(least) + " to " + std::to_string(most));
+      if (!v.is_number_integer() || v < min || v > max) {
+        return InvalidSetting(name,
+                              "a whole number from " + std::to_string(min) + " to " + std::to_string(max));
       }
       *to = v.get<int>();
       return std::string();
@@ -61,18 +63,18 @@
   }
   void Object(const char* key, const std::function<void(const json&, const std::string&)>& read) {
     Read(key, [&](const json& v, const std::string& name) {
-      if (!v.is_object()) return Bad(name, "an object");
+      if (!v.is_object()) return InvalidSetting(name, "an object");
       read(v, name);
       return std::string();
     });
   }
-  void Done() {
-    for (const auto& [key, value] : from_.items()) {
-      if (std::find(known_.begin(), known_.end(), key) == known_.end())
-        Fault("unknown setting: " + path_ + "." + key);
+  void CheckUnknownFields() {
+    for (const auto& [key, value] : object_.items()) {
+      if (std::find(known_keys_.begin(), known_keys_.end(), key) == known_keys_.end())
+        ReportError("unknown setting: " + path_ + "." + key);
     }
   }
-  void Fault(const std::string& text) {
+  void ReportError(const std::string& text) {
     if (faults_ == nullptr) throw WireError(text);
     faults_->push_back(text);
   }
@@ -80,16 +82,16 @@
  private:
   template <typename Reader>
   void Read(const char* key, Reader read) {
-    known_.push_back(key);
-    auto it = from_.find(key);
-    if (it == from_.end()) return;
+    known_keys_.push_back(key);
+    auto it = object_.find(key);
+    if (it == object_.end()) return;
     std::string fault = read(*it, path_ + "." + key);
-    if (!fault.empty()) Fault(fault);
+    if (!fault.empty()) ReportError(fault);
   }
-  const json& from_;
+  const json& object_;
   const std::string path_;
   std::vector<std::string>* faults_;
-  std::vector<std::string> known_;
+  std::vector<std::string> known_keys_;
 };
 
 }  // namespace
@@ -101,60 +103,61 @@
     faults->push_back("setting is unreadable: fleet");
     return s;
   }
-  Fields f(section, "fleet", faults);
+  FieldReader f(section, "fleet", faults);
   f.Choice("engine", {{"sqlite", [&] { s.engine = Settings::Engine::kSqlite; }},
                       {"redis", [&] { s.engine = Settings::Engine::kRedis; }}});
   f.Text("path", &s.path, 1000);
   f.Choice("durability", {{"power", [&] { s.survive_power_loss = true; }},
                           {"process", [&] { s.survive_power_loss = false; }}});
-  f.Whole("most_mb", 1, 1 << 20, &s.max_size_mb);
+  f.Integer("most_mb", 1, 1 << 20, &s.max_size_mb);
   f.Text("address", &s.address);
   f.Text("username", &s.username);
   f.Text("password", &s.password);
   f.Text("prefix", &s.prefix, 48);
-  f.Whole("database", 0, 1000000, &s.database);
+  f.Integer("database", 0, 1000000, &s.database);
   f.Number("lease_s", 0.2, 300, &s.lease_s);
   f.Number("hold_s", 0, 3600, &s.hold_s);
   f.Number("capacity", 0.001, 1000, &s.capacity);
   f.Object("lending", [&](const json& value, const std::string& path) {
     s.lending.enabled = true;
-    Fields in(value, path, faults);
+    FieldReader in(value, path, faults);
     in.Number("turn_s", 0.1, 3600, &s.lending.turn_s);
-    in.Whole("most_customers", 1, 100000, &s.lending.max_customers);
-    in.Done();
+    in.Integer("most_customers", 1, 100000, &s.lending.max_customers);
+    in.CheckUnknownFields();
   });
   f.Object("ledger", [&](const json& value, const std::string& path) {
     Settings::Ledger& l = s.ledger;
     l.enabled = true;
-    Fields in(value, path, faults);
+    FieldReader in(value, path, faults);
     in.Text("key_header", &l.key_header, 64);
     in.Number("life_s", 1, 86400, &l.record_ttl_s);
     in.Number("patience_s", 0.005, 10, &l.engine_timeout_s);
-    in.Whole("most_answer", 0, 1 << 19, &l.max_answer_bytes);
-    in.Whole("most_open", 1, 1000000, &l.max_open_requests);
+    in.Integer("most_answer", 0, 1 << 19, &l.max_answer_bytes);
+    in.Integer("most_open", 1, 1000000, &l.max_open_requests);
     in.Object("without", [&](const json& without, const std::string& name) {
-      Fields w(without, name, faults);
+      FieldReader w(without, name, faults);
       auto rule = [&](const char* key, bool* serve) {
         w.Choice(key, {{"refuse", [serve] { *serve = false; }}, {"go-on", [serve] { *serve = true; }}});
       };
       rule("safe", &l.serve_safe_unrecorded);
       rule("keyed", &l.serve_keyed_unrecorded);
       rule("unsafe", &l.serve_unsafe_unrecorded);
-      w.Done();
+      w.CheckUnknownFields();
     });
-    in.Done();
+    in.CheckUnknownFields();
     bool token = !l.key_header.empty() &&
                  std::all_of(l.key_header.begin(), l.key_header.end(),
                              [](unsigned char c) { return std::isalnum(c) || c == '-' || c == '_'; });
-    if (!token) in.Fault("setting is missing or no header's name: fleet.ledger.key_header");
+    if (!token) in.ReportError("setting is missing or no header's name: fleet.ledger.key_header");
   });
-  f.Done();
-  if (s.engine == Settings::Engine::kSqlite && s.path.empty()) f.Fault("setting is missing: fleet.path");
+  f.CheckUnknownFields();
+  if (s.engine == Settings::Engine::kSqlite && s.path.empty())
+    f.ReportError("setting is missing: fleet.path");
   if (s.engine == Settings::Engine::kRedis) {
     try {
       ParseAddress("fleet.address", s.address);
     } catch (const WireError& error) {
-      f.Fault(error.what());
+      f.ReportError(error.what());
     }
   }
   return s;
--- a/src/fleet/stop_points.h
+++ b/src/fleet/stop_points.h
@@ -1,5 +1,5 @@
-// The steps of a work's life at which a test stops this process: SIGSTOP to itself, for the test to go on
-// with or to kill. Only a program built for tests has them (IVYGW_STEPS); in any other they are nothing.
+// Stop points in the processing of an idempotent request: a test makes the process raise SIGSTOP at one of
+// them, and then resumes or kills it. Compiled in only for tests (IVYGW_STEPS); otherwise they do nothing.
 #ifndef IVYGW_FLEET_STOP_POINTS_H_
 #define IVYGW_FLEET_STOP_POINTS_H_
 
@@ -12,13 +12,13 @@
 namespace ivygw::fleet {
 
 #ifdef IVYGW_STEPS
-// The step whose number the environment names in IVYGW_STOP_AT, counted from 1 over the process's life.
-inline void StopPoint(const char* what) {
+// Stops at the point whose number, counted from 1 since the process started, is given in IVYGW_STOP_AT.
+inline void StopPoint(const char* name) {
   static const int kStopAt =
       std::getenv("IVYGW_STOP_AT") != nullptr ? std::atoi(std::getenv("IVYGW_STOP_AT")) : 0;
   static int passed = 0;
   if (++passed != kStopAt) return;
-  std::fprintf(stderr, "stops at step %d: %s\n", passed, what);
+  std::fprintf(stderr, "stops at step %d: %s\n", passed, name);
   std::raise(SIGSTOP);
 }
 #else
--- a/src/parts/ceiling.cpp
+++ b/src/parts/ceiling.cpp
@@ -5,8 +5,8 @@
 
 namespace ivygw::parts {
 namespace {
-constexpr double kRoundingTolerance = 1e-6;  // of totals
-constexpr double kMinWindowS = 1e-3;         // a window at least, whatever the settings say
+constexpr double kRoundingTolerance = 1e-6;  // units, when totals are compared
+constexpr double kMinWindowS = 1e-3;         // lower bound for any configured rate and burst
 }  // namespace
 
 double CeilingParams::LocalFraction() const {
--- a/src/parts/share_lease.cpp
+++ b/src/parts/share_lease.cpp
@@ -10,9 +10,9 @@
 namespace ivygw::parts {
 namespace {
 constexpr double kNever = 1e300;
-constexpr double kShareEpsilon = 1e-9;      // of shares, lost to rounding
-constexpr double kSharePrecision = 1e9;     // of a share as it is written
-constexpr double kMinRelativeChange = 0.1;  // of a share: a smaller difference is not written
+constexpr double kShareEpsilon = 1e-9;      // rounding tolerance of shares
+constexpr double kSharePrecision = 1e9;     // a share is stored with nine decimals
+constexpr double kMinRelativeChange = 0.1;  // smaller changes of a share or demand are not written
 }  // namespace
 
 std::string SerializeShareLease(const ShareLease& lease) {
@@ -53,7 +53,8 @@
     });
     requesting.resize(max_holders);
   }
-  // The least for each, then water filled in from the smallest need up, then what is over to all alike.
+  // Water filling: the minimum for each, then up to the demand starting with the smallest, then the rest
+  // evenly.
   double remaining = 1 - min_share * static_cast<double>(requesting.size());
   for (size_t i : requesting) shares[i] = min_share;
   std::vector<size_t> by_demand = requesting;
@@ -103,8 +104,8 @@
 void ShareLeaseClient::OnTimer(double now, OutgoingCalls* out) {
   ExpireShare(now);
   if (now < next_due_ || NextDue() >= kNever) return;
-  // What the call that is out has done is told by the next reading; until then no more is used than either
-  // would allow.
+  // The pending call has timed out. The next read shows whether it took effect; until then the smaller of the
+  // old and the requested share is used.
   if (pending_type_ == CallType::kWrite || pending_type_ == CallType::kRenew) version_ = 0;
   pending_type_ = CallType::kNone;
   pending_id_ = 0;
@@ -138,7 +139,7 @@
     return;
   }
   uint64_t guard_version = 0;
-  std::vector<ShareLease> leases = {ShareLease()};  // this one first
+  std::vector<ShareLease> leases = {ShareLease()};  // this gateway first
   double others_share = 0;
   ShareLease own;
   uint64_t version = 0;
@@ -155,7 +156,8 @@
       others_share += leases.back().share;
     }
   }
-  // What the engine has of this one: as written by a call whose answer did not come, or gone with its lease.
+  // The engine's record of this gateway may come from a write whose reply was lost, or be gone with its
+  // lease. Gone before that: the engine has lost writes.
   if (version == 0 && now < record_expected_until_ && !released_) backoff_until_ = now + options_.lease_s;
   if (version == 0) record_expected_until_ = -1;
   lease_ = own;
@@ -182,7 +184,7 @@
                         static_cast<double>(std::count_if(leases.begin(), leases.end(),
                                                           [](const ShareLease& l) { return l.demand > 0; })) >
                     1;
-  // A turn goes on while it lasts, though another waits longer, and ends where one waits.
+  // A turn lasts its full time even if another gateway has waited longer, and ends only if one is waiting.
   bool waiting = std::any_of(leases.begin() + 1, leases.end(),
                              [](const ShareLease& l) { return l.demand > 0 && l.share <= 0; });
   bool turn_over = take_turns && waiting && own.share > 0 && turn_started_at_ >= 0 &&
@@ -192,12 +194,12 @@
   double unallocated = std::max(0.0, 1 - others_share - kShareEpsilon);
   double share = std::min(target, std::max(unallocated, 0.0));
   if (share < options_.min_share - kShareEpsilon && share < target)
-    share = std::min(own.share, target);  // no room for a request yet
+    share = std::min(own.share, target);  // too little is free to hold a request
   share = std::floor(std::min(share, std::max(0.0, 1 - others_share)) * kSharePrecision) /
-          kSharePrecision;  // as it is written, and no more
+          kSharePrecision;  // rounded down to the stored precision
   ShareLease next{share, has_demand ? demand_ : 0,
                   turn_over || own.waiting_since == 0 ? reply.revision + 1 : own.waiting_since};
-  // Whether others are to hear of it: a share that changed for more than a little, or a need that did.
+  // Other gateways need to know only of a considerable change of the share or the demand.
   auto differs = [](double a, double b) { return std::fabs(a - b) > kMinRelativeChange * std::max(a, b); };
   bool remove = !has_demand && share <= 0;
   bool write = remove || version == 0 || differs(share, own.share) || differs(next.demand, own.demand);
@@ -210,7 +212,7 @@
     batch.changes.push_back(shared::Renew(RecordKey(), options_.lease_s));
     return SendCall(now, CallType::kRenew, shared::Commit(std::move(batch)), out);
   }
-  share_ = std::min(share_, share);  // given back before it is asked for
+  share_ = std::min(share_, share);  // a reduction takes effect before it is requested
   batch.conditions.push_back({GuardKey(), guard_version});
   batch.changes.push_back(shared::Put(GuardKey(), ""));
   batch.changes.push_back(remove ? shared::Remove(RecordKey())
--- a/src/parts/share_lease.h
+++ b/src/parts/share_lease.h
@@ -1,23 +1,25 @@
-// One gateway's borrowing of parts of one customer's allowance, over an engine that gateways share: each
-// holds a share for a lease, by need, and all shares that are valid add up to one at the most, whatever is
-// lost, late, doubled or paused. Pure: the time of each event is told (seconds of one monotonic clock of this
-// gateway), calls to the engine come out with numbers. One thread.
+// Leases of shares of one customer's rate limit, held by one gateway. Gateways coordinate through a shared
+// engine: each holds a share according to its demand for the time of a lease, and all valid shares add up to
+// at most one, under any loss, delay, duplication or pause. No clock and no I/O: each event carries its time
+// (seconds of a monotonic clock of this gateway), and calls to the engine are returned with ids. Not
+// thread-safe.
 //
-// How. All loans of a customer lie under one prefix, beside a ledger entry that every change of a share
-// writes. Who wants another share reads them all at once and writes its own and the ledger entry on condition
-// that the latter is as it was read: changes of one customer's shares are one after another, and each leaves
-// a sum of one at most. A loan ends with its lease by the engine's clock; its holder stops a margin earlier
-// by its own. Giving back takes effect here before it is asked for, taking only when it is known to be done.
-// Who finds its entry gone before its time knows that the engine has lost writes, and asks for nothing for a
-// lease: what others hold may be forgotten too.
+// Protocol: all leases of a customer are stored under one key prefix, next to a guard entry that every change
+// of a share writes. A gateway that wants another share reads the whole prefix, then writes its own record
+// and the guard on condition that the guard is unchanged. Changes of one customer's shares are therefore
+// serialized, and each leaves a sum of at most one. A lease ends by the engine's clock; its holder stops
+// earlier by a safety margin of its own clock. A reduction takes effect locally before it is requested, an
+// increase only once it is confirmed. A gateway that finds its record gone before the lease has ended knows
+// that the engine has lost writes, and requests nothing for the time of a lease, since the shares of others
+// may be lost as well.
 //
-// How much. Max-min fair over what each says that it needs: nobody gets more while another that wants more
-// has less. A share holds the largest request at least; where not all who ask can have that much, as many as
-// can take turns, in the order in which they began to wait. What nobody needs is spread evenly over those who
-// ask.
+// Allocation: max-min fair over the demands that gateways report: no gateway gets more while another that
+// wants more has less. A share holds at least the largest request. Where not all that ask can have that much,
+// as many as fit hold a share in turns, in the order in which they began to wait. What nobody needs is
+// divided evenly among those that ask.
 //
-// A share that grows brings no store with it: what it lets pass in a burst begins from nought, so that a
-// burst never passes twice (Ceiling::Begin).
+// A share that grows brings no burst with it: the added part of the bucket starts empty, so that a burst
+// never passes twice (CeilingLimiter::Initialize).
 #ifndef IVYGW_PARTS_SHARE_LEASE_H_
 #define IVYGW_PARTS_SHARE_LEASE_H_
 
@@ -32,26 +34,26 @@
 
 namespace ivygw::parts {
 
-// A loan as it stands in the engine.
+// A gateway's lease record as stored in the engine.
 struct ShareLease {
-  double share = 0;            // of the whole, 0 to 1; 0: it waits for one
-  double demand = 0;           // share that it could use
-  uint64_t waiting_since = 0;  // revision from which it has waited, or held its turn; 0: not known yet
+  double share = 0;            // of the whole, 0 to 1; 0: waiting for a share
+  double demand = 0;           // share that the gateway could use
+  uint64_t waiting_since = 0;  // revision at which it began to wait or to hold its turn; 0: not known yet
 };
 std::string SerializeShareLease(const ShareLease& lease);
-// What is no loan of this form counts as one that holds all: nothing is lent until it has gone.
+// Text in any other format is parsed as a lease of the whole: nothing is allocated until that entry is gone.
 ShareLease ParseShareLease(const std::string& text);
 
-// The shares that all who ask are to have, in the order given: max-min fair, `least` or nothing each. Sums to
-// one at most. Where `least` does not go round, those with the smallest `since` come first.
+// Max-min fair shares of all that ask, in the order given; each is 0 or at least `min_share`, and they add up
+// to at most one. Where not all can have `min_share`, those with the smallest `waiting_since` come first.
 std::vector<double> MaxMinFairShares(const std::vector<ShareLease>& leases, double min_share);
 
 struct ShareLeaseOptions {
-  std::string customer, boot_id;  // of this gateway's start, unique for ever
-  double lease_s = 3, clock_margin = 0.1;
-  double min_share = 0.01;  // share that holds the largest request
-  double turn_s = 6;        // for which a turn is held where others wait
-  double idle_s = 10;       // without need a share is given back
+  std::string customer, boot_id;           // boot_id: globally unique id of this start of the gateway
+  double lease_s = 3, clock_margin = 0.1;  // margin: fraction of the lease given up for clock drift
+  double min_share = 0.01;                 // share that holds the largest request
+  double turn_s = 6;                       // how long a turn lasts while others wait
+  double idle_s = 10;                      // time without demand after which a share is released
 };
 
 class ShareLeaseClient {
@@ -61,29 +63,29 @@
     shared::Call call;
   };
   using OutgoingCalls = std::vector<OutgoingCall>;
-  // The condition that this gateway's place is its own; none while it is not sure of it.
+  // Condition under which this gateway's membership still holds; none while that is uncertain.
   using MembershipCheck = std::function<std::optional<shared::Condition>(double now)>;
 
   ShareLeaseClient(ShareLeaseOptions options, MembershipCheck membership)
       : options_(std::move(options)), membership_check_(std::move(membership)) {}
   ShareLeaseClient(const ShareLeaseClient& other, MembershipCheck membership) : ShareLeaseClient(other) {
     membership_check_ = std::move(membership);
-  }  // for searches
+  }  // copies the state, for tests that explore it
 
-  // What it could use now, as a share of the whole.
+  // Reports the share of the whole that this gateway could use now.
   void SetDemand(double share, double now, OutgoingCalls* out);
   void OnTimer(double now, OutgoingCalls* out);
   void OnReply(double now, uint64_t id, const shared::Reply& reply, OutgoingCalls* out);
   double NextDue() const;
-  void Release(double now, OutgoingCalls* out);  // all, for good
+  void Release(double now, OutgoingCalls* out);  // everything, permanently
 
-  // The share that may be used now.
+  // The share that may be used now, and until when.
   double Share(double now) const { return now < valid_until_ ? share_ : 0; }
-  double ValidUntil() const { return valid_until_; }  // of that share
+  double ValidUntil() const { return valid_until_; }
   bool IsWaiting() const { return lease_.demand > 0 && lease_.share <= 0; }
   uint64_t conflicts() const { return conflicts_; }
   uint64_t calls_made() const { return last_id_; }
-  uint64_t highest_revision = 0;  // revision heard of
+  uint64_t highest_revision = 0;  // seen in any reply
 
   static std::string KeyPrefix(const std::string& customer) { return "loan/" + customer + "/"; }
   std::string Fingerprint(double now) const;
@@ -103,12 +105,12 @@
   const ShareLeaseOptions options_;
   MembershipCheck membership_check_;
   double demand_ = 0, last_demand_at_ = -1e9;
-  double share_ = 0, valid_until_ = -1;  // as it may be used here
-  ShareLease lease_, pending_lease_;     // as last known in the engine; as written by the call that is out
-  uint64_t version_ = 0;                 // of its entry; 0: there is none, as far as is known
-  double turn_started_at_ = -1;          // its turn
-  double record_expected_until_ = -1,
-         backoff_until_ = -1;  // until when its entry must be there; until when nothing is asked for
+  double share_ = 0, valid_until_ = -1;  // what this gateway may use
+  ShareLease lease_, pending_lease_;     // last known in the engine; written by the pending call
+  uint64_t version_ = 0;                 // of this gateway's record; 0: none is known to exist
+  double turn_started_at_ = -1;
+  double record_expected_until_ = -1;  // until then the record must exist in the engine
+  double backoff_until_ = -1;          // until then nothing is requested
   CallType pending_type_ = CallType::kNone;
   uint64_t pending_id_ = 0, last_id_ = 0, conflicts_ = 0;
   double sent_at_ = 0, next_due_ = 0;
--- a/src/parts/share_lease_manager.cpp
+++ b/src/parts/share_lease_manager.cpp
@@ -8,9 +8,10 @@
 namespace ivygw::parts {
 namespace {
 constexpr double kNever = 1e300;
-constexpr double kDemandHeadroom = 1.25;  // times the demand seen, that is asked for: it is seen late
-constexpr double kReplyGraceLeases =
-    2;  // leases after its end, for which a call is waited for: the engine's own time-out is shorter
+constexpr double kDemandHeadroom = 1.25;  // requested share over observed demand, which lags behind
+// Leases for which a pending call is waited for after the demand has ended; the engine's own timeout is
+// shorter.
+constexpr double kReplyGraceLeases = 2;
 
 std::string CustomerKey(uint64_t customer) {
   char text[20];
@@ -60,7 +61,7 @@
     if (now > it->second.last_request_at + DemandWindowS()) it->second.client->SetDemand(0, now, &calls);
     it->second.client->OnTimer(now, &calls);
     CollectCalls(it->first, &calls, out);
-    // Who has neither share nor demand, and no call out, is forgotten; a later request begins anew.
+    // Drops a customer without share, demand and pending calls; a later request starts from scratch.
     bool idle = now > it->second.last_request_at + DemandWindowS() + kReplyGraceLeases * options_.lease_s &&
                 it->second.client->NextDue() >= kNever;
     if (!idle) {
--- a/src/parts/share_lease_manager.h
+++ b/src/parts/share_lease_manager.h
@@ -1,7 +1,7 @@
-// What one gateway borrows of all customers' ceilings: the demand that it sees of each, and the loans that
-// follow (lending.h). Pure: the time of each event is told (seconds of one monotonic clock of this gateway),
-// calls to the engine come out with the customer and a number. Bounded: no more than `most` customers at a
-// time; who comes beyond that has no share here. One thread.
+// Share leases of one gateway over all customers: tracks each customer's demand here and drives one
+// ShareLeaseClient for each. No clock and no I/O: each event carries its time (seconds of a monotonic clock
+// of this gateway), and calls to the engine are returned with the customer and an id. At most `max_customers`
+// at a time; further ones get no share in this gateway. Not thread-safe.
 #ifndef IVYGW_PARTS_SHARE_LEASE_MANAGER_H_
 #define IVYGW_PARTS_SHARE_LEASE_MANAGER_H_
 
@@ -17,7 +17,7 @@
 namespace ivygw::parts {
 
 struct ShareLeaseManagerOptions {
-  std::string boot_id;  // of this gateway's start, unique for ever
+  std::string boot_id;  // globally unique id of this start of the gateway
   double lease_s = 3, clock_margin = 0.1;
   double turn_s = 6;
   size_t max_customers = 256;
@@ -32,28 +32,27 @@
   using OutgoingCalls = std::vector<OutgoingCall>;
   struct ShareUpdate {
     uint64_t customer = 0;
-    double share = 0,
-           valid_until =
-               0;  // of the customer's lent part; until when it may be used, on this gateway's clock
+    double share = 0;        // of the local fraction of the customer's ceiling
+    double valid_until = 0;  // by this gateway's clock
   };
 
   ShareLeaseManager(ShareLeaseManagerOptions options, ShareLeaseClient::MembershipCheck membership)
       : options_(std::move(options)), membership_check_(std::move(membership)) {}
 
-  // A request of so many units has come. `whole`: the customer's ceiling, with `lent` at nought or over.
+  // Records the demand of a request of `units`. `ceiling` must have a `leased_share` of 0 or more.
   void OnRequest(double now, uint64_t customer, double units, const CeilingParams& ceiling,
                  OutgoingCalls* out);
   void OnTimer(double now, OutgoingCalls* out);
   void OnReply(double now, uint64_t customer, uint64_t id, const shared::Reply& reply, OutgoingCalls* out);
-  void ReleaseAll(double now, OutgoingCalls* out);  // all, for good
-  // Shares that have changed since this was asked last. To be told before any call that came out since is
-  // made: what is given back must not be used any more when the engine hears of it.
+  void ReleaseAll(double now, OutgoingCalls* out);  // permanently
+  // Returns the shares that changed since the previous call. The caller must apply them before it makes any
+  // engine call returned since: a released share must no longer be used when the engine learns of it.
   std::vector<ShareUpdate> TakeUpdates(double now);
   double NextDue() const;
 
   struct Stats {
     size_t customers = 0, held = 0, waiting = 0;
-    double shares = 0;  // held, added up
+    double shares = 0;  // sum of those held
     uint64_t conflicts = 0, rejected = 0;
   };
   Stats stats() const;
@@ -63,12 +62,11 @@
  private:
   struct CustomerLease {
     std::unique_ptr<ShareLeaseClient> client;
-    double demand_rate = 0, last_request_at = 0;  // units a second, of late; when that was
+    double demand_rate = 0, last_request_at = 0;  // demand: recent units per second
     double reported_share = 0, reported_until = -1;
   };
-  double DemandWindowS() const {
-    return 2 * options_.lease_s;
-  }  // s over which demand is taken, and without which a share is given back
+  // Averaging time of the demand, and the time without demand after which a share is released.
+  double DemandWindowS() const { return 2 * options_.lease_s; }
   void CollectCalls(uint64_t customer, ShareLeaseClient::OutgoingCalls* calls, OutgoingCalls* out);
 
   const ShareLeaseManagerOptions options_;
--- a/tests/fleet/lending_test.cpp
+++ b/tests/fleet/lending_test.cpp
@@ -1,5 +1,5 @@
-// Parts of one customer's ceiling lent among several processes of the program, with no counter to ask:
-// killed, stopped past their leases, cut off from the engine, joining and leaving, while clients ask for far
+// Shares of one customer's ceiling leased by several gateway processes, without a shared counter. Processes
+// are killed, stopped past their leases, cut off from the engine, join and leave, while clients ask for far
 // more than the ceiling through all of them.
 #include <algorithm>
 #include <atomic>
@@ -12,25 +12,26 @@
 
 using namespace rig;  // NOLINT
 
-constexpr double kRate = 20, kStore = 20, kSlack = 10;  // of the ceiling; requests are of one unit
+constexpr double kRate = 20, kBurst = 20, kSlack = 10;  // of the ceiling; each request is one unit
 
-// The ceiling's store by what the backend was sent, in the order and at the times at which it came there.
-class Metered {
+// Replays the ceiling's token bucket over the requests that reach the backend.
+class MeteredBackend {
  public:
-  Metered()
+  MeteredBackend()
       : backend([this](const Message&, Wire&) {
           std::lock_guard lock(mutex_);
           double now =
               std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
-          holds_ = std::min(kStore, holds_ + (at_ > 0 ? kRate * (now - at_) : 0)) - 1;
-          at_ = now;
-          least_ = std::min(least_, holds_);
+          level_ =
+              std::min(kBurst, level_ + (last_request_at_ > 0 ? kRate * (now - last_request_at_) : 0)) - 1;
+          last_request_at_ = now;
+          min_level_ = std::min(min_level_, level_);
           ++sent_;
           return Ok("done");
         }) {}
-  double least() {
+  double min_level() {
     std::lock_guard lock(mutex_);
-    return least_;
+    return min_level_;
   }
   int sent() {
     std::lock_guard lock(mutex_);
@@ -39,7 +40,7 @@
 
  private:
   std::mutex mutex_;
-  double holds_ = kStore, at_ = 0, least_ = kStore;
+  double level_ = kBurst, last_request_at_ = 0, min_level_ = kBurst;
   int sent_ = 0;
 
  public:
@@ -58,25 +59,26 @@
       (*config)["fleet"]["lending"] = {{"turn_s", 1}};
       (*config)["settings"]["specifics"]["may-count"] = false;
       (*config)["settings"]["specifics"]["units-top"] =
-          1;  // a small share holds the largest request: no turns
+          1;  // even a small share holds the largest request, so that there are no turns
       json& plan = (*config)["settings"]["tiers-of-service"][0];
       plan["units-per-s"] = kRate;
-      plan["store-size"] = 1e6;  // the quota refuses nothing: it is the ceiling that is looked at
+      plan["store-size"] = 1e6;  // the quota must refuse nothing: only the ceiling is under test
       plan["never-over-rate"] = kRate;
-      plan["ceiling-burst"] = kStore;
-      plan["cap-slack"] = kSlack / 2;  // the rest is for the way to the backend on a busy machine
+      plan["ceiling-burst"] = kBurst;
+      plan["cap-slack"] =
+          kSlack / 2;  // the rest allows for delays on the way to the backend on a busy machine
     };
     return options;
   }
   static std::string Name(int i) { return "g" + std::to_string(i); }
-  // A client that asks through this gateway, again and again, until all is over. Connections that end are
-  // opened anew.
-  void Flood(const std::string& name) {
+  // Starts a client that sends requests through this gateway until Stop, and reconnects when its connection
+  // ends.
+  void StartClient(const std::string& name) {
     int port = fleet.of(name).port;
     clients_.emplace_back([this, port, name] {
-      while (!over_) {
+      while (!stopped_) {
         auto wire = Wire::Try(port);
-        while (wire && !over_) {
+        while (wire && !stopped_) {
           Message m = Ask(*wire, Request("quote", 300, 1000));
           if (m.status() == 0) break;
           std::this_thread::sleep_for(std::chrono::milliseconds(m.status() == 200 ? 2 : 10));
@@ -86,109 +88,110 @@
     });
   }
   void Stop() {
-    over_ = true;
+    stopped_ = true;
     for (auto& client : std::exchange(clients_, {})) client.join();
   }
-  long Thousandths(const std::string& name) {
+  long SharesInThousandths(const std::string& name) {
     return AdminMetrics(fleet.of(name).admin)["fleet_loans_shares_thousandths"];
   }
-  bool AllHold(const std::vector<std::string>& names, long least) {
+  bool AllHold(const std::vector<std::string>& names, long min_thousandths) {
     return Eventually([&] {
-      return std::all_of(names.begin(), names.end(), [&](auto& n) { return Thousandths(n) >= least; });
+      return std::all_of(names.begin(), names.end(),
+                         [&](auto& n) { return SharesInThousandths(n) >= min_thousandths; });
     });
   }
-  // More is served, which the shares that are held now must allow.
-  bool ServesOn(int more) {
+  // Whether `more` requests are served, under the shares held now.
+  bool Serves(int more) {
     int before = metered.sent();
     return Eventually([&] { return metered.sent() >= before + more; });
   }
-  Metered metered;
+  MeteredBackend metered;
   Fleet fleet;
 
  private:
-  std::atomic<bool> over_{false};
+  std::atomic<bool> stopped_{false};
   std::vector<std::thread> clients_;
 };
 
-TEST_P(Lending, WhatADeadGatewayHeldIsLentToOthersAndTheCeilingHolds) {
+TEST_P(Lending, ADeadGatewaysShareGoesToOthersAndTheCeilingHolds) {
   for (int i = 0; i < 4; ++i) fleet.Start(Name(i));
-  for (int i = 0; i < 4; ++i) Flood(Name(i));
-  EXPECT_TRUE(AllHold({"g0", "g1", "g2", "g3"}, 200)) << "a quarter each, about";
-  EXPECT_TRUE(ServesOn(20));
+  for (int i = 0; i < 4; ++i) StartClient(Name(i));
+  EXPECT_TRUE(AllHold({"g0", "g1", "g2", "g3"}, 200)) << "about a quarter each";
+  EXPECT_TRUE(Serves(20));
   fleet.Kill("g1");
   fleet.Kill("g2");
-  EXPECT_TRUE(AllHold({"g0", "g3"}, 400)) << "half each, once the leases of the dead are over";
-  EXPECT_TRUE(ServesOn(20));
+  EXPECT_TRUE(AllHold({"g0", "g3"}, 400)) << "half each, once the leases of the dead gateways have ended";
+  EXPECT_TRUE(Serves(20));
   fleet.Start("g1");
-  Flood("g1");
-  EXPECT_TRUE(AllHold({"g0", "g1", "g3"}, 250)) << "who joins is served";
-  EXPECT_TRUE(ServesOn(20));
+  StartClient("g1");
+  EXPECT_TRUE(AllHold({"g0", "g1", "g3"}, 250)) << "a joining gateway gets a share";
+  EXPECT_TRUE(Serves(20));
   Stop();
-  EXPECT_GE(metered.least(), -kSlack);
+  EXPECT_GE(metered.min_level(), -kSlack);
 }
 
-TEST_P(Lending, OneStoppedPastItsLeaseSendsNothingOnItsOldShare) {
+TEST_P(Lending, AGatewayStoppedPastItsLeaseSendsNothingOnItsOldShare) {
   for (int i = 0; i < 3; ++i) fleet.Start(Name(i));
-  for (int i = 0; i < 3; ++i) Flood(Name(i));
+  for (int i = 0; i < 3; ++i) StartClient(Name(i));
   EXPECT_TRUE(AllHold({"g0", "g1", "g2"}, 250));
   for (int round = 0; round < 3; ++round) {
     fleet.of("g1").Signal(SIGSTOP);
     EXPECT_TRUE(AllHold({"g0", "g2"}, 400));
-    EXPECT_TRUE(ServesOn(10));
+    EXPECT_TRUE(Serves(10));
     fleet.of("g1").Signal(SIGCONT);
     EXPECT_TRUE(AllHold({"g0", "g1", "g2"}, 250));
   }
   Stop();
-  EXPECT_GE(metered.least(), -kSlack);
+  EXPECT_GE(metered.min_level(), -kSlack);
 }
 
-TEST_P(Lending, WhoLeavesGivesItsPartBackAtOnce) {
+TEST_P(Lending, ALeavingGatewayReleasesItsShareAtOnce) {
   for (int i = 0; i < 2; ++i) fleet.Start(Name(i));
-  for (int i = 0; i < 2; ++i) Flood(Name(i));
+  for (int i = 0; i < 2; ++i) StartClient(Name(i));
   EXPECT_TRUE(AllHold({"g0", "g1"}, 400));
   fleet.of("g1").Signal(SIGTERM);
   EXPECT_EQ(fleet.of("g1").Exit(), 0);
   EXPECT_TRUE(AllHold({"g0"}, 900));
-  EXPECT_TRUE(ServesOn(20));
+  EXPECT_TRUE(Serves(20));
   Stop();
-  EXPECT_GE(metered.least(), -kSlack);
+  EXPECT_GE(metered.min_level(), -kSlack);
 }
 
-TEST_P(Lending, OneCutOffFromTheEngineStopsWithItsLeaseAndComesBack) {
-  if (GetParam() != std::string("redis")) GTEST_SKIP() << "a file on this machine has no link to cut";
+TEST_P(Lending, AGatewayCutOffFromTheEngineStopsWithItsLeaseAndRecovers) {
+  if (GetParam() != std::string("redis")) GTEST_SKIP() << "a local file has no network link to cut";
   for (int i = 0; i < 3; ++i) fleet.Start(Name(i));
-  for (int i = 0; i < 3; ++i) Flood(Name(i));
+  for (int i = 0; i < 3; ++i) StartClient(Name(i));
   EXPECT_TRUE(AllHold({"g0", "g1", "g2"}, 250));
   fleet.redis().OnLink("g1", [](auto& link) { link.Cut(); });
-  EXPECT_TRUE(Eventually([&] { return Thousandths("g1") == 0; }));
+  EXPECT_TRUE(Eventually([&] { return SharesInThousandths("g1") == 0; }));
   EXPECT_TRUE(AllHold({"g0", "g2"}, 400));
   fleet.redis().OnLink("g1", [](auto& link) { link.Mend(); });
   EXPECT_TRUE(AllHold({"g0", "g1", "g2"}, 250));
-  // One way only: its calls come to the engine, and no answer comes back.
+  // One direction only: calls reach the engine, replies are lost.
   fleet.redis().OnLink("g2", [](auto& link) { link.back.swallows = true; });
-  EXPECT_TRUE(Eventually([&] { return Thousandths("g2") == 0; }));
+  EXPECT_TRUE(Eventually([&] { return SharesInThousandths("g2") == 0; }));
   fleet.redis().OnLink("g2", [](auto& link) { link.Mend(); });
   EXPECT_TRUE(AllHold({"g0", "g1", "g2"}, 250));
   Stop();
-  EXPECT_GE(metered.least(), -kSlack);
+  EXPECT_GE(metered.min_level(), -kSlack);
 }
 
-// The engine comes back as an old copy of itself in which nothing is lent, while all that was lent is still
-// in use.
-TEST_P(Lending, AnEngineThatForgetsItsLoansLendsNothingTwice) {
+// The engine fails over to an old copy without any leases, while all of them are still in use: no share may
+// be given out twice.
+TEST_P(Lending, AnEngineThatLosesItsLeasesGrantsNothingTwice) {
   if (GetParam() != std::string("redis")) GTEST_SKIP() << "a file has no replica";
   for (int i = 0; i < 3; ++i) fleet.Start(Name(i));
   fleet.redis().With([](ivygw::standin::RedisServer& server) { server.Keep(); });
-  for (int i = 0; i < 3; ++i) Flood(Name(i));
+  for (int i = 0; i < 3; ++i) StartClient(Name(i));
   EXPECT_TRUE(AllHold({"g0", "g1", "g2"}, 250));
-  EXPECT_TRUE(ServesOn(20));
+  EXPECT_TRUE(Serves(20));
   fleet.redis().With([](ivygw::standin::RedisServer& server) { server.FailOver(); });
   fleet.Start("g3");
-  Flood("g3");
+  StartClient("g3");
   EXPECT_TRUE(AllHold({"g0", "g1", "g2", "g3"}, 200));
-  EXPECT_TRUE(ServesOn(20));
+  EXPECT_TRUE(Serves(20));
   Stop();
-  EXPECT_GE(metered.least(), -kSlack);
+  EXPECT_GE(metered.min_level(), -kSlack);
 }
 
 INSTANTIATE_TEST_SUITE_P(Of, Lending, testing::Values("sqlite", "redis"),
--- a/tests/fleet/members_test.cpp
+++ b/tests/fleet/members_test.cpp
@@ -1,5 +1,5 @@
-// Who is there, with several processes of the program: killed, stopped past their leases, begun anew, under
-// one name.
+// Membership of several gateway processes that are killed, stopped past their leases, restarted, or started
+// twice under one name.
 #include <algorithm>
 #include <functional>
 #include <tuple>
@@ -12,34 +12,34 @@
 
 class Members : public testing::TestWithParam<std::tuple<int, const char*>> {
  protected:
-  Members() : fleet(Plain()) {
+  Members() : fleet(Options()) {
     for (int i = 0; i < size(); ++i) fleet.Start(Name(i));
   }
   static int size() { return std::get<0>(GetParam()); }
   static bool redis() { return std::get<1>(GetParam()) == std::string("redis"); }
-  static FleetOptions Plain() {
+  static FleetOptions Options() {
     FleetOptions options;
     options.ledger = nullptr;
     options.engine = std::get<1>(GetParam());
     return options;
   }
   static std::string Name(int i) { return "g" + std::to_string(i); }
-  std::set<std::string> All(std::set<int> but = {}) const {
+  std::set<std::string> All(std::set<int> except = {}) const {
     std::set<std::string> names;
     for (int i = 0; i < size(); ++i) {
-      if (but.count(i) == 0) names.insert(Name(i));
+      if (except.count(i) == 0) names.insert(Name(i));
     }
     return names;
   }
-  // All that run see exactly these.
-  bool AllSee(const std::set<std::string>& names, std::set<int> but = {}) {
-    for (const std::string& name : All(but)) {
+  // Whether all running gateways see exactly these members.
+  bool AllSee(const std::set<std::string>& names, std::set<int> except = {}) {
+    for (const std::string& name : All(except)) {
       if (fleet.has(name) && !Eventually([&] { return fleet.Seen(name) == names; })) return false;
     }
     return true;
   }
-  // Of those named, each has a position and a fence of its own.
-  void Apart(const std::set<std::string>& names) {
+  // Each named gateway has its own slot and fence.
+  void ExpectDistinct(const std::set<std::string>& names) {
     std::set<long> slots, fences;
     for (const std::string& name : names) {
       auto metrics = AdminMetrics(fleet.of(name).admin);
@@ -52,9 +52,9 @@
   Fleet fleet;
 };
 
-TEST_P(Members, FindEachOtherAndSeeWhoIsKilled) {
+TEST_P(Members, DiscoverEachOtherAndNoticeAKill) {
   EXPECT_TRUE(AllSee(All()));
-  Apart(All());
+  ExpectDistinct(All());
   EXPECT_TRUE(Eventually([&] { return AdminMetrics(fleet.of("g0").admin)["fleet_counts"] == 1; }));
   fleet.Kill("g1");
   EXPECT_TRUE(AllSee(All({1})));
@@ -62,11 +62,11 @@
   long before = AdminMetrics(fleet.of("g0").admin)["fleet_fence"];
   fleet.Start("g1");
   EXPECT_TRUE(AllSee(All()));
-  Apart(All());
-  EXPECT_GT(AdminMetrics(fleet.of("g1").admin)["fleet_fence"], before) << "a fence rises with each start";
+  ExpectDistinct(All());
+  EXPECT_GT(AdminMetrics(fleet.of("g1").admin)["fleet_fence"], before) << "the fence rises with each start";
 }
 
-TEST_P(Members, OneStoppedPastItsLeaseKnowsWhenItWakes) {
+TEST_P(Members, AGatewayStoppedPastItsLeaseRejoinsWhenResumed) {
   EXPECT_TRUE(AllSee(All()));
   long before = AdminMetrics(fleet.of("g1").admin)["fleet_fence"];
   fleet.of("g1").Signal(SIGSTOP);
@@ -74,27 +74,27 @@
   fleet.of("g1").Signal(SIGCONT);
   EXPECT_TRUE(AllSee(All()));
   EXPECT_TRUE(Eventually([&] { return AdminMetrics(fleet.of("g1").admin)["fleet_fence"] > before; }));
-  Apart(All());
+  ExpectDistinct(All());
 }
 
-TEST_P(Members, LeaveByThemselvesAndAreNotWaitedFor) {
+TEST_P(Members, LeaveCleanlyWithoutWaitingForALease) {
   EXPECT_TRUE(AllSee(All()));
   fleet.End("g1");
   EXPECT_TRUE(AllSee(All({1})));
   EXPECT_TRUE(Eventually([&] { return AdminMetrics(fleet.of("g0").admin)["fleet_number"] == size() - 1; }));
 }
 
-// A rolling restart of all, one after another, by SIGKILL.
+// Kills and restarts all gateways, one after another.
 TEST_P(Members, RollingRestart) {
   for (int i = 0; i < size(); ++i) {
     fleet.Kill(Name(i));
     fleet.Start(Name(i));
   }
   EXPECT_TRUE(AllSee(All()));
-  Apart(All());
+  ExpectDistinct(All());
 }
 
-TEST_P(Members, ASecondProcessUnderOneNameSaysSoAndIsNone) {
+TEST_P(Members, ASecondProcessUnderTheSameNameIsNoMember) {
   json config = fleet.ConfigOf("g1");
   config["admin"] = "127.0.0.1:0";
   Process second(config);
@@ -103,15 +103,15 @@
   EXPECT_EQ(AdminMetrics(second.admin)["fleet_sure"], 0);
   EXPECT_EQ(AdminMetrics(second.admin)["fleet_counts"], 0);
   EXPECT_TRUE(second.Says("another process lives under the name g1"));
-  EXPECT_EQ(AdminMetrics(fleet.of("g1").admin)["fleet_sure"], 1) << "the first is the one";
+  EXPECT_EQ(AdminMetrics(fleet.of("g1").admin)["fleet_sure"], 1) << "the first keeps the name";
   EXPECT_TRUE(AllSee(All()));
   fleet.Kill("g1");
   EXPECT_TRUE(Eventually([&] { return AdminMetrics(second.admin)["fleet_sure"] == 1; }))
-      << "once the first has gone it takes the place";
+      << "once the first has gone, the second takes the name";
 }
 
-// The engine's file is gone, and begun anew by who comes: all join again, and fences do not fall.
-TEST_P(Members, AnEngineBegunAnew) {
+// The engine's data is deleted and created anew: all gateways rejoin, and fences never decrease.
+TEST_P(Members, RejoinAnEmptiedEngine) {
   EXPECT_TRUE(AllSee(All()));
   std::map<std::string, long> before;
   for (const std::string& name : All()) before[name] = AdminMetrics(fleet.of(name).admin)["fleet_fence"];
@@ -128,13 +128,13 @@
     EXPECT_GT(AdminMetrics(fleet.of(name).admin)["fleet_fence"], before[name]) << name;
   }
   EXPECT_TRUE(AllSee(All()));
-  Apart(All());
+  ExpectDistinct(All());
 }
 
-// Links to the engine, of half of the gateways: cut off, deaf, dumb, slow. Who can't renew knows before the
-// others do, and all are one fleet again afterwards.
-TEST_P(Members, HalfAreCutFromTheEngine) {
-  if (!redis()) GTEST_SKIP() << "a file has no link";
+// Breaks the engine links of half of the gateways: cut, no replies, calls lost, stalled. A gateway that
+// cannot renew knows it before the others do, and all of them form one fleet again afterwards.
+TEST_P(Members, RecoverWhenHalfAreCutFromTheEngine) {
+  if (!redis()) GTEST_SKIP() << "a file has no network link";
   using ivygw::standin::Relay;
   std::function<void(Relay&)> faults[] = {
       [](Relay& r) { r.Cut(); },
@@ -148,22 +148,22 @@
       cut.insert(i);
       fleet.redis().OnLink(Name(i), fault);
     }
-    std::set<std::string> left = All(cut);
+    std::set<std::string> connected = All(cut);
     for (int i : cut) {
       EXPECT_TRUE(Eventually([&] { return AdminMetrics(fleet.of(Name(i)).admin)["fleet_sure"] == 0; }))
           << Name(i);
       EXPECT_TRUE(Eventually([&] { return AdminMetrics(fleet.of(Name(i)).admin)["fleet_counts"] == 0; }))
           << Name(i);
     }
-    for (const std::string& name : left)
-      EXPECT_TRUE(Eventually([&] { return fleet.Seen(name) == left; })) << name;
+    for (const std::string& name : connected)
+      EXPECT_TRUE(Eventually([&] { return fleet.Seen(name) == connected; })) << name;
     fleet.redis().MendAll();
     EXPECT_TRUE(AllSee(All()));
-    Apart(All());
+    ExpectDistinct(All());
   }
 }
 
-TEST_P(Members, AFailOverThatLosesThem) {
+TEST_P(Members, SurviveAFailOverThatLosesWrites) {
   if (!redis()) GTEST_SKIP() << "a file has no replica";
   EXPECT_TRUE(AllSee(All()));
   fleet.redis().With([](ivygw::standin::RedisServer& server) { server.Keep(); });
@@ -177,7 +177,7 @@
     return f["fleet_sure"] == 1 && f["fleet_fence"] > fence;
   }));
   EXPECT_TRUE(AllSee(All()));
-  Apart(All());
+  ExpectDistinct(All());
 }
 
 INSTANTIATE_TEST_SUITE_P(Of, Members,
--- a/tests/fleet/takeover_test.cpp
+++ b/tests/fleet/takeover_test.cpp
@@ -1,6 +1,6 @@
-// Works in hand that survive the loss of their gateway, with several processes of the program on one shared
-// SQLite file, or the stand-in of Redis: the owner is killed, or stopped past its lease, at every step of a
-// work's life.
+// Idempotent requests survive the loss of the gateway that processes them. Several gateway processes share
+// one SQLite file or the Redis stand-in; the owner of a request is killed, or stopped past its lease, at
+// every step of its processing.
 #include <sqlite3.h>
 
 #include "rig/fleet_rig.h"
@@ -9,41 +9,41 @@
 
 using namespace rig;  // NOLINT
 
-json Listed(RecordingBackend& effects) { return json::array({Entry("s1", effects.backend.port())}); }
-std::string Own(const std::string& cls, const std::string& key, const std::string& more = "b") {
-  return Keyed(cls, key, cls == "quote" ? "" : more);
+json EntriesFor(RecordingBackend& effects) { return json::array({Entry("s1", effects.backend.port())}); }
+std::string KeyedFor(const std::string& cls, const std::string& key, const std::string& more = "b") {
+  return KeyedRequest(cls, key, cls == "quote" ? "" : more);
 }
 
 struct Case {
   const char* cls;
-  bool kill;  // else it is stopped until another has answered, and goes on then
+  bool kill;  // else it is stopped until another gateway has answered, and then resumed
   const char* engine;
 };
-constexpr int kSteps =
-    9;  // of a work's life: taken, read, its intent written, sent, answered, its outcome written
+// Stop points of one request: taken, read, intent written, sent, answered, outcome written.
+constexpr int kSteps = 9;
 void PrintTo(const Case& c, std::ostream* out) {
   *out << c.cls << (c.kill ? " killed " : " stopped ") << c.engine;
 }
 class AtEveryStep : public testing::TestWithParam<Case> {};
 
-TEST_P(AtEveryStep, AnotherTakesTheWorkOverOnce) {
+TEST_P(AtEveryStep, AnotherGatewayTakesOverOnce) {
   const Case c = GetParam();
   const bool unsafe = std::string(c.cls) == "send-lead";
   RecordingBackend effects;
   FleetOptions options;
   options.program = IVYGW_STEPPED;
   options.engine = c.engine;
-  Fleet fleet(options, Listed(effects));
+  Fleet fleet(options, EntriesFor(effects));
   fleet.Start("g1");
   fleet.Start("g2");
   int served = 0, uncertain = 0;
   for (int step = 1; step <= kSteps + 1; ++step) {
     std::string name = "owner" + std::to_string(step), key = "k" + std::to_string(step);
     Process& owner = fleet.Start(name, step);
-    std::string request = Own(c.cls, key);
+    std::string request = KeyedFor(c.cls, key);
     auto client = owner.Connect();
     auto first = std::async(std::launch::async, [&] { return Ask(*client, request); });
-    if (step > kSteps) {  // a whole life, and no step that was left out
+    if (step > kSteps) {  // beyond the last step: the request completes without a stop
       EXPECT_EQ(first.get().status(), 200);
       EXPECT_TRUE(Eventually([&] { return AdminMetrics(owner.admin)["fleet_works_open"] == 0; }));
       EXPECT_FALSE(owner.Says("stops at step"));
@@ -53,36 +53,37 @@
     SCOPED_TRACE(name);
     if (c.kill) fleet.Kill(name);
     Message second = Ask(*fleet.of("g1").Connect(), request), third = Ask(*fleet.of("g2").Connect(), request);
-    EXPECT_TRUE(second.whole) << "each who comes back gets one final answer";
+    EXPECT_TRUE(second.whole) << "each retry gets one final answer";
     EXPECT_EQ(third.status(), second.status());
-    EXPECT_EQ(third.body, second.body) << "and all the same";
+    EXPECT_EQ(third.body, second.body) << "and all the same one";
     if (second.status() == 200) {
       ++served;
       EXPECT_EQ(second.body.substr(0, key.size() + 5), key + " done");
       EXPECT_EQ(second.Header("Content-Type"), "text/x-done");
     } else {
       ++uncertain;
-      EXPECT_TRUE(unsafe) << "safe and keyed work goes on";
+      EXPECT_TRUE(unsafe) << "safe and keyed requests are continued";
       EXPECT_EQ(second.status(), 502);
     }
     if (!c.kill) {
       int before = effects.attempts(key);
       owner.Signal(SIGCONT);
-      Message late = first.get();  // its own client is told something, once
+      Message late = first.get();  // its own client gets exactly one answer
       EXPECT_TRUE(late.whole);
       if (late.status() == 200 && second.status() == 200 && std::string(c.cls) != "quote") {
         EXPECT_EQ(late.body, second.body);
       }
-      if (std::string(c.cls) != "quote") {  // safe work goes on without the engine's word
-        EXPECT_EQ(effects.attempts(key), before) << "who wakes after its work was claimed sends nothing more";
+      if (std::string(c.cls) != "quote") {  // safe requests are continued without the engine
+        EXPECT_EQ(effects.attempts(key), before)
+            << "a resumed gateway whose request was taken over sends nothing more";
       }
       fleet.End(name);
     } else {
       Message cut = first.get();
-      EXPECT_EQ(cut.whole, step == kSteps) << "its answer has gone out before the last step alone";
+      EXPECT_EQ(cut.whole, step == kSteps) << "only at the last step has its answer been sent already";
     }
     if (unsafe) {
-      EXPECT_LE(effects.attempts(key), 1) << "unsafe work is sent once at most";
+      EXPECT_LE(effects.attempts(key), 1) << "an unsafe request is sent at most once";
     }
     if (std::string(c.cls) == "save-scenario") {
       EXPECT_EQ(effects.runs(key), 1);
@@ -91,7 +92,7 @@
   std::printf("%s, %s: %d steps, served %d, uncertain %d\n", c.cls, c.kill ? "killed" : "stopped", kSteps,
               served, uncertain);
   EXPECT_EQ(served + uncertain, kSteps);
-  // From when the attempt is durable until the outcome is.
+  // Uncertain from when the attempt is durable until its outcome is.
   EXPECT_LE(uncertain, unsafe ? 5 : 0);
 }
 
@@ -110,17 +111,17 @@
   return name + (of.param.kill ? "_killed_" : "_stopped_") + of.param.engine;
 });
 
-// While the backend works on it: the attempt is out, and nobody but the backend knows whether it runs.
-TEST(TakeOver, KilledWhileTheBackendWorks) {
+// The attempt has been sent, and only the backend knows whether it ran.
+TEST(TakeOver, OwnerKilledWhileTheBackendProcesses) {
   for (const char* cls : {"quote", "save-scenario", "send-lead"}) {
     SCOPED_TRACE(cls);
     RecordingBackend effects;
-    Fleet fleet({}, Listed(effects));
+    Fleet fleet({}, EntriesFor(effects));
     fleet.Start("g0");
     fleet.Start("g1");
     effects.Hold(true);
     auto client = fleet.of("g0").Connect();
-    std::string request = Own(cls, "k");
+    std::string request = KeyedFor(cls, "k");
     client->Write(request);
     ASSERT_TRUE(effects.received.Wait());
     fleet.Kill("g0");
@@ -139,11 +140,11 @@
   }
 }
 
-TEST(TakeOver, ClaimantsDieTooFiveDeep) {
+TEST(TakeOver, FiveOwnersInARowAreKilled) {
   RecordingBackend effects;
-  Fleet fleet({}, Listed(effects));
+  Fleet fleet({}, EntriesFor(effects));
   fleet.Start("last");
-  std::string request = Own("save-scenario", "k");
+  std::string request = KeyedFor("save-scenario", "k");
   effects.Hold(true);
   std::vector<std::unique_ptr<Wire>> clients;
   for (int i = 0; i < 5; ++i) {
@@ -162,16 +163,16 @@
   EXPECT_EQ(AdminMetrics(fleet.of("last").admin)["fleet_works_claimed"], 1);
 }
 
-TEST(TakeOver, WhoComesBackWhileTheOwnerLivesGetsItsAnswer) {
+TEST(TakeOver, RetriesGetTheAnswerOfTheLivingOwner) {
   RecordingBackend effects;
-  Fleet fleet({}, Listed(effects));
+  Fleet fleet({}, EntriesFor(effects));
   for (const char* name : {"g0", "g1", "g2", "g3"}) fleet.Start(name);
   effects.Hold(true);
-  std::string request = Own("send-lead", "k");
+  std::string request = KeyedFor("send-lead", "k");
   auto first = fleet.of("g0").Connect();
   first->Write(request);
   ASSERT_TRUE(effects.received.Wait());
-  first->Close();  // its client has gone; the gateway goes on for who comes back
+  first->Close();  // its client is gone; the gateway continues for a retry
   std::vector<std::unique_ptr<Wire>> back;
   for (const char* name : {"g1", "g2", "g3", "g0"}) {
     back.push_back(fleet.of(name).Connect());
@@ -191,10 +192,10 @@
   EXPECT_EQ(effects.attempts("k"), 1);
 }
 
-// The engine's thread and the event loop under load: none is lost, and the gateway goes on.
-TEST(TakeOver, ManyAtOnceThroughOneGateway) {
+// Loads the engine's thread and the event loop: no request is lost, and the gateway keeps its membership.
+TEST(TakeOver, ManyConcurrentRequestsThroughOneGateway) {
   RecordingBackend effects;
-  Fleet fleet({}, Listed(effects));
+  Fleet fleet({}, EntriesFor(effects));
   fleet.Start("g0");
   std::atomic<int> served{0}, others{0};
   std::vector<std::thread> clients;
@@ -202,7 +203,7 @@
     clients.emplace_back([&, c] {
       auto wire = fleet.of("g0").Connect();
       for (int i = 0; i < 250; ++i) {
-        int status = Ask(*wire, Own("send-lead", std::to_string(c) + "/" + std::to_string(i))).status();
+        int status = Ask(*wire, KeyedFor("send-lead", std::to_string(c) + "/" + std::to_string(i))).status();
         ++(status == 200 ? served : others);
         if (status == 0) return;
       }
@@ -215,44 +216,44 @@
   EXPECT_EQ(AdminMetrics(fleet.of("g0").admin)["fleet_sure"], 1);
 }
 
-TEST(TakeOver, AKeyIsOfOneBodyAndOneCustomer) {
+TEST(TakeOver, AKeyBelongsToOneBodyAndOneCustomer) {
   RecordingBackend effects;
-  Fleet fleet({}, Listed(effects));
+  Fleet fleet({}, EntriesFor(effects));
   fleet.Start("g0");
   fleet.Start("g1");
-  EXPECT_EQ(Ask(*fleet.of("g0").Connect(), Own("send-lead", "k", "one")).status(), 200);
-  EXPECT_EQ(Ask(*fleet.of("g1").Connect(), Own("send-lead", "k", "two")).status(), 422);
-  EXPECT_EQ(effects.attempts("k"), 1) << "nothing is sent";
-  std::string other = Own("send-lead", "k", "two");
+  EXPECT_EQ(Ask(*fleet.of("g0").Connect(), KeyedFor("send-lead", "k", "one")).status(), 200);
+  EXPECT_EQ(Ask(*fleet.of("g1").Connect(), KeyedFor("send-lead", "k", "two")).status(), 422);
+  EXPECT_EQ(effects.attempts("k"), 1) << "nothing is sent for another body";
+  std::string other = KeyedFor("send-lead", "k", "two");
   other.replace(other.find("00000000b4d65521"), 16, "00000000b4d65522");
   EXPECT_EQ(Ask(*fleet.of("g1").Connect(), other).status(), 200);
   EXPECT_EQ(effects.attempts("k"), 2);
   EXPECT_EQ(Ask(*fleet.of("g1").Connect(), Request("send-lead", 1, 3000, "", "b")).Header("Work"), "")
-      << "without a key all is as it was";
+      << "a request without a key is not recorded";
 }
 
-TEST(TakeOver, AnAnswerTooLongToBeKeptIsNotGotAgain) {
+TEST(TakeOver, AnAnswerTooLongToRecordIsNotReplayed) {
   RecordingBackend effects(std::string(2000, '.'));
   FleetOptions options;
   options.ledger["most_answer"] = 1000;
-  Fleet fleet(options, Listed(effects));
+  Fleet fleet(options, EntriesFor(effects));
   fleet.Start("g0");
   fleet.Start("g1");
-  EXPECT_EQ(Ask(*fleet.of("g0").Connect(), Own("send-lead", "k")).status(), 200);
+  EXPECT_EQ(Ask(*fleet.of("g0").Connect(), KeyedFor("send-lead", "k")).status(), 200);
   ASSERT_TRUE(Eventually([&] { return AdminMetrics(fleet.of("g0").admin)["fleet_works_open"] == 0; }));
-  Message back = Ask(*fleet.of("g1").Connect(), Own("send-lead", "k"));
+  Message back = Ask(*fleet.of("g1").Connect(), KeyedFor("send-lead", "k"));
   EXPECT_EQ(back.status(), 409);
   EXPECT_EQ(back.Header("Work"), "answer-not-kept");
   EXPECT_EQ(effects.attempts("k"), 1);
 }
 
-// The gateway's own process begins again, under its name: what it had is claimed from the one before.
-TEST(TakeOver, BackToTheSameGatewayBegunAnew) {
+// A gateway restarted under its name takes over the requests of its previous process.
+TEST(TakeOver, RetryAtTheRestartedGateway) {
   RecordingBackend effects;
-  Fleet fleet({}, Listed(effects));
+  Fleet fleet({}, EntriesFor(effects));
   fleet.Start("g0");
   effects.Hold(true);
-  std::string request = Own("save-scenario", "k");
+  std::string request = KeyedFor("save-scenario", "k");
   auto client = fleet.of("g0").Connect();
   client->Write(request);
   ASSERT_TRUE(effects.received.Wait());
@@ -264,13 +265,14 @@
   EXPECT_EQ(back.body, "k done 1 times");
 }
 
-// Another process holds the file: what needs the engine's word is refused, safe work goes on and is told so.
-TEST(TakeOver, WithoutTheEnginesWord) {
+// Another process locks the file: requests that need the engine are refused, safe ones are served unrecorded
+// and marked as such.
+TEST(TakeOver, EngineUnavailable) {
   RecordingBackend effects;
   FleetOptions options;
   options.ledger["patience_s"] = 0.3;
   options.lease_s = 30;
-  Fleet fleet(options, Listed(effects));
+  Fleet fleet(options, EntriesFor(effects));
   fleet.Start("g0");
   sqlite3* file = nullptr;
   ASSERT_EQ(sqlite3_open(fleet.file().c_str(), &file), SQLITE_OK);
@@ -278,20 +280,20 @@
   ASSERT_EQ(sqlite3_exec(file, "BEGIN EXCLUSIVE", nullptr, nullptr, nullptr), SQLITE_OK)
       << sqlite3_errmsg(file);
   for (const char* cls : {"save-scenario", "send-lead"}) {
-    Message answer = Ask(*fleet.of("g0").Connect(), Own(cls, "k"));
+    Message answer = Ask(*fleet.of("g0").Connect(), KeyedFor(cls, "k"));
     EXPECT_EQ(answer.status(), 503) << cls;
     EXPECT_EQ(answer.Header("Work"), "no-engine");
     EXPECT_NE(answer.Header("Retry-After") + answer.Header("Retry-After-Ms"), "") << answer.head;
   }
   EXPECT_EQ(effects.attempts("k"), 0);
-  Message safe = Ask(*fleet.of("g0").Connect(), Own("quote", "k"));
+  Message safe = Ask(*fleet.of("g0").Connect(), KeyedFor("quote", "k"));
   EXPECT_EQ(safe.status(), 200);
   EXPECT_EQ(safe.Header("Work"), "without-record");
   EXPECT_EQ(AdminMetrics(fleet.of("g0").admin)["fleet_works_refused"], 2);
   ASSERT_EQ(sqlite3_exec(file, "COMMIT", nullptr, nullptr, nullptr), SQLITE_OK);
   sqlite3_close(file);
-  EXPECT_TRUE(
-      Eventually([&] { return Ask(*fleet.of("g0").Connect(), Own("send-lead", "k2")).status() == 200; }));
+  EXPECT_TRUE(Eventually(
+      [&] { return Ask(*fleet.of("g0").Connect(), KeyedFor("send-lead", "k2")).status() == 200; }));
 }
 
 }  // namespace
--- a/tests/parts/ceiling_test.cpp
+++ b/tests/parts/ceiling_test.cpp
@@ -1,5 +1,5 @@
-// A ceiling shared by several gateways, each with its own books, over a counter that loses, delays and
-// doubles nothing but its answers: what is sent never passes the whole.
+// A ceiling shared by several gateways, each with its own state, over a counter whose replies may be lost and
+// whose calls may arrive late: the units sent never exceed the ceiling.
 #include "parts/ceiling.h"
 
 #include <gtest/gtest.h>
@@ -17,9 +17,9 @@
 namespace ivygw::parts {
 namespace {
 
-// The rule, by a store that is full at first, gains the rate and is never forgiven.
+// Reference model of the ceiling: a token bucket that starts full and refills at the rate.
 struct ReferenceBucket {
-  double used = 0, updated_at = 0;  // units gone from the store
+  double used = 0, updated_at = 0;  // units taken from the bucket
   bool Admit(const CeilingParams& params, double now, double units) {
     used = std::max(0.0, used - params.rate * (now - updated_at)) + units;
     updated_at = now;
@@ -27,21 +27,22 @@
   }
 };
 
-TEST(CeilingParams, IsCutByWhatAnEvenPartHolds) {
-  EXPECT_EQ((CeilingParams{20, 44.6, 1, 8}.LocalFraction()), 1) << "one gateway asks nobody";
+TEST(CeilingParams, LocalFractionDependsOnTheSizeOfAnEqualShare) {
+  EXPECT_EQ((CeilingParams{20, 44.6, 1, 8}.LocalFraction()), 1) << "a single gateway needs no coordination";
   EXPECT_EQ((CeilingParams{20, 44.6, 2, 8}.LocalFraction()), 0.5);
   EXPECT_EQ((CeilingParams{20, 44.6, 2, 8, false}.LocalFraction()), 1) << "no counter to reserve at";
   EXPECT_EQ((CeilingParams{20, 44.6, 300, 8, false}.LocalFraction()), 1);
   EXPECT_EQ((CeilingParams{20, 44.6, 11, 8}.LocalFraction()), 0.5);
   EXPECT_EQ((CeilingParams{20, 44.6, 12, 8}.LocalFraction()), 0)
-      << "a part holds less than half of the largest request";
+      << "an equal share holds less than half of the largest request";
   EXPECT_EQ((CeilingParams{20, 44.6, 300, 8}.LocalFraction()), 0);
   EXPECT_DOUBLE_EQ((CeilingParams{20, 44.6, 300, 8}.WindowLimit()), 22.3);
   EXPECT_DOUBLE_EQ((CeilingParams{20, 44.6, 300, 8}.WindowSeconds()), 1.115);
 }
 
-// With the last unit of one window and the first of the next, and on: the rule holds with nothing to spare.
-TEST(Ceiling, WindowsInARowHoldStoreAndRateAndUseThem) {
+// Spends each window's limit at the end of one window and the start of the next: the worst case for the
+// bound.
+TEST(Ceiling, ConsecutiveWindowsUseUpBurstAndRateButNoMore) {
   CeilingParams params{2, 8, 10, 4};  // windows of 2 s, 4 units each
   ASSERT_EQ(params.LocalFraction(), 0);
   CeilingLimiter limiter;
@@ -57,10 +58,10 @@
     EXPECT_TRUE(bucket.Admit(params, now, 4));
     max_used = std::max(max_used, bucket.used);
   }
-  EXPECT_NEAR(max_used, 8, 0.21) << "a bound that nothing comes near says little";
+  EXPECT_NEAR(max_used, 8, 0.21) << "the test must come close to the bound";
 }
 
-TEST(Ceiling, ATotalThatWentDownGrantsNothing) {
+TEST(Ceiling, ADecreasedTotalGrantsNothing) {
   CeilingParams params{2, 20, 40, 4};
   CeilingLimiter limiter;
   auto reservation = limiter.Reserve(params, 2, 1);
@@ -71,12 +72,12 @@
   EXPECT_EQ(limiter.AvailableUnits(params, 1), 0);
 }
 
-TEST(Ceiling, SeveralRequestsRideOnOneReservation) {
+TEST(Ceiling, RequestsThatWaitShareOneReservation) {
   CeilingParams params{2, 40, 40, 4};
   CeilingLimiter limiter;
   auto reservation = limiter.Reserve(params, 2, 1);
   ASSERT_TRUE(reservation);
-  EXPECT_FALSE(limiter.Reserve(params, 3, 1)) << "one is out";
+  EXPECT_FALSE(limiter.Reserve(params, 3, 1)) << "another is pending";
   EXPECT_FALSE(limiter.Reserve(params, 1, 1));
   limiter.CompleteReservation(params, *reservation, true, 2);
   auto next = limiter.Reserve(params, 0, 1);
@@ -93,14 +94,14 @@
   EXPECT_EQ(limiter.AvailableUnits(params, 2.05), 0);
 }
 
-// All that can happen to three gateways and the counter between them, in any order.
+// Explores every interleaving of events of three gateways and the counter.
 class StateSpaceSearch {
  public:
-  // `broken`: a lost answer is taken for a grant, to see that the search finds what it is for.
+  // `trust_lost_replies`: treats a lost reply as a grant, to check that the search detects the violation.
   StateSpaceSearch(const CeilingParams& params, int depth, bool trust_lost_replies)
       : params_(params), depth_(depth), trust_lost_replies_(trust_lost_replies) {}
 
-  // False where the rule was broken.
+  // Returns false if the ceiling was exceeded.
   bool Run() {
     State s;
     for (CeilingLimiter& c : s.gateways) c.Initialize(params_, 0);
@@ -119,7 +120,7 @@
     CeilingLimiter gateways[3];
     std::optional<CeilingLimiter::Reservation> pending[3];
     std::map<int64_t, double> totals;
-    std::vector<DelayedCall> delayed;  // given up, and still on the way to the counter
+    std::vector<DelayedCall> delayed;  // timed out, still on the way to the counter
     ReferenceBucket bucket;
     double now = 0;
   };
@@ -152,7 +153,7 @@
   bool Explore(const State& s, int steps_left) {
     if (steps_left == 0 || !visited_.insert(Key(s, steps_left)).second) return true;
     {
-      State t = s;  // time goes on
+      State t = s;  // time passes
       t.now += kStepS;
       for (CeilingLimiter& c : t.gateways) c.Refill(params_, kStepS);
       if (t.now <= 2 && !Explore(t, steps_left - 1)) return false;
@@ -198,7 +199,7 @@
           !end(false, false, true))
         return false;
     }
-    State t = s;  // killed, and back from nothing; its call is still on the way
+    State t = s;  // killed and restarted; its call is still on the way
     if (t.pending[g]) t.delayed.push_back({t.pending[g]->window, t.pending[g]->units});
     t.pending[g].reset();
     t.gateways[g] = CeilingLimiter();
@@ -214,19 +215,20 @@
   size_t sends_ = 0;
 };
 
-TEST(Ceiling, NoOrderOfThreeGatewaysPassesTheWhole) {
-  for (double max_request_units : {6.0, 4.0}) {  // all of it pooled; half of it cut evenly
+TEST(Ceiling, NoInterleavingOfThreeGatewaysExceedsTheCeiling) {
+  for (double max_request_units : {6.0, 4.0}) {  // all in the pool; half split evenly
     CeilingParams params{4, 8, 3, max_request_units};
     StateSpaceSearch search(params, 8, false);
     EXPECT_TRUE(search.Run());
     EXPECT_GT(search.sends(), 1000u);
-    std::printf("largest request %.0f: %zu states, %zu sends, none past the ceiling\n", max_request_units,
+    std::printf("largest request %.0f: %zu states, %zu sends, none over the ceiling\n", max_request_units,
                 search.states(), search.sends());
   }
-  EXPECT_FALSE(StateSpaceSearch({4, 8, 3, 6}, 10, true).Run()) << "a lost answer taken for a grant passes it";
+  EXPECT_FALSE(StateSpaceSearch({4, 8, 3, 6}, 10, true).Run())
+      << "the search finds that a lost reply treated as a grant exceeds the ceiling";
 }
 
-TEST(Ceiling, FortyGatewaysUnderAnyLossesKeepTheWhole) {
+TEST(Ceiling, FortyGatewaysWithRandomLossesKeepTheCeiling) {
   double used = 0;
   for (uint64_t seed = 1; seed <= 1000; ++seed) {
     std::mt19937_64 random(seed);
@@ -280,7 +282,7 @@
       }
     }
   }
-  EXPECT_GT(used, 0.75 * 44.6) << "most of it is to be had";
+  EXPECT_GT(used, 0.75 * 44.6) << "most of the ceiling is usable";
 }
 
 }  // namespace
--- a/tests/parts/share_lease_test.cpp
+++ b/tests/parts/share_lease_test.cpp
@@ -1,5 +1,5 @@
-// Parts of an allowance lent by lease: never more than the whole, whatever is lost, paused or killed; fair by
-// need; back in use after a death.
+// Shares of a ceiling held by lease: they never add up to more than one, whatever is lost, paused or killed;
+// they are fair by demand, and a dead gateway's share is reused once its lease has ended.
 #include "parts/share_lease.h"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
 using emulator::EngineModel;
 using emulator::VirtualScheduler;
 
-TEST(FairShares, GiveEachItsNeedOrAsMuchAsAnyOther) {
+TEST(FairShares, GiveEachItsDemandOrAnEqualShare) {
   auto shares = [](std::vector<double> needs, double min_share) {
     std::vector<ShareLease> leases;
     for (double n : needs) leases.push_back({0, n, 0});
@@ -33,26 +33,26 @@
   EXPECT_NEAR(s[0], 0.1, 1e-9);
   EXPECT_NEAR(s[1], 0.45, 1e-9);
   EXPECT_NEAR(s[2], 0.45, 1e-9);
-  s = shares({0.1, 0.1, 0}, 0.01);  // what nobody needs is for those who ask
+  s = shares({0.1, 0.1, 0}, 0.01);  // unused capacity goes to those that ask
   EXPECT_NEAR(s[0], 0.5, 1e-9);
   EXPECT_EQ(s[2], 0);
   s = shares({1, 0.01}, 0.2);
-  EXPECT_NEAR(s[1], 0.2, 1e-9) << "a request fits in";
+  EXPECT_NEAR(s[1], 0.2, 1e-9) << "one request fits";
   EXPECT_NEAR(s[0], 0.8, 1e-9);
 }
 
-TEST(FairShares, WhereTheLeastDoesNotGoRoundThoseWhoWaitedLongestComeFirst) {
+TEST(FairShares, LongestWaitingComeFirstWhereNotAllFit) {
   std::vector<ShareLease> leases = {{0, 1, 30}, {0, 1, 10}, {0, 1, 20}, {0, 1, 0}};
   std::vector<double> s = MaxMinFairShares(leases, 0.4);
   EXPECT_EQ(s[0], 0);
   EXPECT_GE(s[1], 0.4);
   EXPECT_GE(s[2], 0.4);
   EXPECT_EQ(s[3], 0);
-  s = MaxMinFairShares(leases, 2);  // larger than the whole: one at a time
+  s = MaxMinFairShares(leases, 2);  // more than the whole: one holder at a time
   EXPECT_NEAR(s[1], 1, 1e-9);
 }
 
-TEST(FairShares, AnyNeeds) {
+TEST(FairShares, HoldForRandomDemands) {
   std::mt19937_64 random(1);
   auto unit = [&] { return static_cast<double>(random() % 10001) / 10000; };
   for (int round = 0; round < 20000; ++round) {
@@ -65,27 +65,28 @@
     for (size_t i = 0; i < s.size(); ++i) {
       ASSERT_TRUE(s[i] == 0 || s[i] >= min_share * (1 - 1e-6)) << s[i] << " " << min_share;
       ASSERT_TRUE(leases[i].demand > 0 || s[i] == 0);
-      for (size_t j = 0; j < s.size();
-           ++j) {  // who lacks something has as much as any other, but for the least of that one
-        bool lacks = s[i] > 0 && s[j] > 0 && s[i] < leases[i].demand - 1e-9;
-        ASSERT_TRUE(!lacks || s[i] >= s[j] - min_share - 1e-9) << s[i] << " " << s[j];
+      for (size_t j = 0; j < s.size(); ++j) {
+        // Whoever gets less than its demand has as much as any other, except for that one's minimum.
+        bool unmet = s[i] > 0 && s[j] > 0 && s[i] < leases[i].demand - 1e-9;
+        ASSERT_TRUE(!unmet || s[i] >= s[j] - min_share - 1e-9) << s[i] << " " << s[j];
       }
     }
   }
 }
 
-TEST(Loan, IsReadBackAsWrittenAndNoOtherTextIsOne) {
+TEST(ShareLease, RoundTripsAndRejectsOtherText) {
   ShareLease l{0.25, 0.5, 1ull << 50};
   ShareLease back = ParseShareLease(SerializeShareLease(l));
   EXPECT_EQ(back.share, l.share);
   EXPECT_EQ(back.demand, l.demand);
   EXPECT_EQ(back.waiting_since, l.waiting_since);
   for (const char* text : {"", "x", "2 0.1 0.1 1", "1 0.1 0.1", "1 nan 0 1", "1 5 0 1", "1 0.1 0.1 1 more"}) {
-    EXPECT_EQ(ParseShareLease(text).share, 1) << text << ": nothing is lent beside what can't be read";
+    EXPECT_EQ(ParseShareLease(text).share, 1)
+        << text << ": an unreadable entry counts as a lease of the whole";
   }
 }
 
-// Gateways in virtual time, each with a place of its own in the engine.
+// Gateways in virtual time, each with its own membership entry in the engine.
 class SimulatedFleet {
  public:
   static constexpr double kLease = 3;
@@ -121,7 +122,7 @@
         });
     RenewMembership(gateway);
   }
-  // Its place in the fleet, renewed apart from its loans.
+  // Renews the membership entry, independently of the share leases.
   void RenewMembership(const std::shared_ptr<Gateway>& g) {
     if (!g->alive) return;
     scheduler.After(kLease / 3, [this, g] { RenewMembership(g); });
@@ -150,11 +151,11 @@
   void SetDemand(int g, double share) {
     At(g).demand = share;
     Run(gateways[static_cast<size_t>(g)],
-        [share](ShareLeaseClient& b, double now, ShareLeaseClient::OutgoingCalls* out) {
-          b.SetDemand(share, now, out);
+        [share](ShareLeaseClient& client, double now, ShareLeaseClient::OutgoingCalls* out) {
+          client.SetDemand(share, now, out);
         });
   }
-  // Needs are told again now and then, as requests come.
+  // Demands are reported again at intervals, as by arriving requests.
   void Advance(double seconds) {
     for (double end = scheduler.Now() + seconds; scheduler.Now() < end;) {
       scheduler.RunUntil(std::min(end, scheduler.Now() + 0.5), [](double) {});
@@ -164,7 +165,7 @@
       Check();
     }
   }
-  // What each may use by its own word; a paused one says nothing, and does nothing.
+  // Sum of the shares that running gateways may use by their own view; paused ones do nothing.
   double Sum() const {
     double sum = 0;
     for (const auto& g : gateways) {
@@ -177,7 +178,7 @@
     double sum = Sum();
     max_sum = std::max(max_sum, sum);
     if (sum > 1 + 1e-9 && ++violations < 5)
-      ADD_FAILURE() << "shares add up to " << sum << " at " << scheduler.Now() << " s";
+      ADD_FAILURE() << "sum of shares: " << sum << " at " << scheduler.Now() << " s";
   }
   VirtualScheduler scheduler{0};
   EngineModel engine;
@@ -190,12 +191,12 @@
            std::function<void(ShareLeaseClient&, double, ShareLeaseClient::OutgoingCalls*)> event) {
     if (!g->alive) return;
     if (g->paused) return g->deferred_events.push_back([this, g, event] { Run(g, event); });
-    ShareLeaseClient::OutgoingCalls asks;
-    event(*g->client, scheduler.Now(), &asks);
-    for (auto& a : asks) {
-      engine.Ask(g->id, std::move(a.call), [this, g, n = a.id](const shared::Reply& r) {
-        Run(g, [n, r](ShareLeaseClient& b, double now, ShareLeaseClient::OutgoingCalls* out) {
-          b.OnReply(now, n, r, out);
+    ShareLeaseClient::OutgoingCalls calls;
+    event(*g->client, scheduler.Now(), &calls);
+    for (auto& call : calls) {
+      engine.Ask(g->id, std::move(call.call), [this, g, id = call.id](const shared::Reply& r) {
+        Run(g, [id, r](ShareLeaseClient& client, double now, ShareLeaseClient::OutgoingCalls* out) {
+          client.OnReply(now, id, r, out);
         });
       });
     }
@@ -205,8 +206,8 @@
     uint64_t timer_generation = ++g->timer_generation;
     scheduler.After(std::max(0.0, due - scheduler.Now()) + 1e-6, [this, g, timer_generation] {
       if (timer_generation == g->timer_generation)
-        Run(g, [](ShareLeaseClient& b, double now, ShareLeaseClient::OutgoingCalls* out) {
-          b.OnTimer(now, out);
+        Run(g, [](ShareLeaseClient& client, double now, ShareLeaseClient::OutgoingCalls* out) {
+          client.OnTimer(now, out);
         });
     });
   }
@@ -215,14 +216,14 @@
   int boots_ = 0;
 };
 
-TEST(Lending, SharesFollowNeedAndAddUpToTheWhole) {
+TEST(Lending, SharesFollowDemandAndAddUpToOne) {
   SimulatedFleet f(4, 1, 0.05);
   f.SetDemand(0, 0.1);
   f.SetDemand(1, 0.9);
   f.Advance(6);
   EXPECT_NEAR(f.Sum(), 1, 0.02);
   EXPECT_GT(f.Share(1), 0.8);
-  f.SetDemand(2, 0.9);  // a third comes
+  f.SetDemand(2, 0.9);  // a third gateway gets traffic
   f.Advance(6);
   EXPECT_NEAR(f.Share(1), 0.45, 0.06);
   EXPECT_NEAR(f.Share(2), 0.45, 0.06);
@@ -233,19 +234,19 @@
   EXPECT_EQ(f.Share(1), 0);
 }
 
-TEST(Lending, ADeadOnesShareIsInUseAfterItsLease) {
+TEST(Lending, ADeadGatewaysShareIsReusedAfterItsLease) {
   SimulatedFleet f(3, 2, 0.05);
   for (int g = 0; g < 3; ++g) f.SetDemand(g, 0.6);
   f.Advance(8);
   ASSERT_NEAR(f.Sum(), 1, 0.02);
   f.Kill(1);
   f.Advance(0.8 * SimulatedFleet::kLease);
-  EXPECT_LT(f.Sum(), 0.75) << "not before its lease is over";
+  EXPECT_LT(f.Sum(), 0.75) << "not before its lease has ended";
   f.Advance(0.2 * SimulatedFleet::kLease + SimulatedFleet::kLease);
-  EXPECT_GT(f.Sum(), 0.95) << "and within a lease after it";
+  EXPECT_GT(f.Sum(), 0.95) << "and within a lease after that";
 }
 
-TEST(Lending, APausedOneStopsBeforeItsShareIsAnothers) {
+TEST(Lending, APausedGatewayStopsBeforeItsShareIsReassigned) {
   SimulatedFleet f(2, 3, 0.05);
   f.SetDemand(0, 0.9);
   f.SetDemand(1, 0.9);
@@ -254,14 +255,14 @@
   f.Advance(3 * SimulatedFleet::kLease);
   EXPECT_GT(f.Share(1), 0.85);
   f.At(0).paused = false;
-  EXPECT_EQ(f.At(0).client->Share(f.scheduler.Now()), 0) << "before any event of its own";
+  EXPECT_EQ(f.At(0).client->Share(f.scheduler.Now()), 0) << "even before it handles an event";
   f.At(0).paused = true;
   f.Resume(0);
   f.Advance(8);
   EXPECT_NEAR(f.Share(0), 0.5, 0.06);
 }
 
-TEST(Lending, WhereNotAllCanHoldARequestTheyTakeTurns) {
+TEST(Lending, GatewaysTakeTurnsWhereNotAllCanHoldARequest) {
   SimulatedFleet f(6, 4, 0.4);  // two at a time
   std::vector<double> held(6, 0);
   for (int g = 0; g < 6; ++g) f.SetDemand(g, 0.5);
@@ -277,8 +278,8 @@
   }
   double sum = 0, squares = 0;
   for (double h : held) sum += h, squares += h * h;
-  EXPECT_GT(sum * sum / (6 * squares), 0.95) << "Jain's index of what each held";
-  EXPECT_GT(sum / 400, 0.6) << "and turns are mostly in use";
+  EXPECT_GT(sum * sum / (6 * squares), 0.95) << "Jain's fairness index of the shares held";
+  EXPECT_GT(sum / 400, 0.6) << "turns are in use most of the time";
 }
 
 TEST(Lending, FairWhileTheFleetGrowsAndShrinks) {
@@ -290,7 +291,7 @@
       if (g < static_cast<int>(f.gateways.size()) && g >= n) f.Kill(g);
     }
     std::vector<double> demand;
-    for (int g = 0; g < n; ++g) demand.push_back((g % 2 == 0 ? 0.02 : 0.2) * 4 / n);  // 1:10 apart
+    for (int g = 0; g < n; ++g) demand.push_back((g % 2 == 0 ? 0.02 : 0.2) * 4 / n);  // demands differ 1:10
     for (int g = 0; g < n; ++g) f.SetDemand(g, demand[static_cast<size_t>(g)]);
     f.Advance(3 * SimulatedFleet::kLease + 6);
     double sum = 0, squares = 0;
@@ -300,11 +301,12 @@
     }
     worst = std::min(worst, sum * sum / (n * squares));
   }
-  EXPECT_GE(worst, 0.95) << "Jain's index of what is served over what is needed";
+  EXPECT_GE(worst, 0.95) << "Jain's fairness index of served demand";
 }
 
-// Forty gateways; kills, pauses, cuts, lost calls, needs that jump: the sum at every step.
-TEST(Lending, RandomDaysNeverPassTheWhole) {
+// Forty gateways with random kills, pauses, link failures, lost calls and demand changes; the sum is checked
+// at every step.
+TEST(Lending, RandomFaultsNeverExceedTheWhole) {
   const char* more = std::getenv("IVYGW_LENDING_SEEDS");
   uint64_t seeds = more != nullptr ? std::strtoull(more, nullptr, 10) : 20;
   double max_sum = 0;
@@ -338,13 +340,13 @@
     max_sum = std::max(max_sum, f.max_sum);
     if (HasFailure()) FAIL() << "seed " << seed;
   }
-  std::printf("40 gateways, %llu seeds: the most that shares added up to: %.6f\n",
+  std::printf("40 gateways, %llu seeds: highest sum of shares: %.6f\n",
               static_cast<unsigned long long>(seeds), max_sum);
-  EXPECT_GT(max_sum, 0.9) << "they are used";
+  EXPECT_GT(max_sum, 0.9) << "the shares are in use";
 }
 
-// Three gateways in every order of steps: calls, answers, lost answers, pauses (no step of its own), leases
-// that end.
+// Three gateways in every interleaving of calls, replies, one lost reply, pauses (no step of their own) and
+// lease ends.
 struct ThreeClients {
   ThreeClients() {
     for (int i = 0; i < 3; ++i) {
@@ -368,34 +370,34 @@
       clients.push_back(
           std::make_unique<ShareLeaseClient>(*other.clients[static_cast<size_t>(i)], MembershipFor(i)));
   }
-  // Places that stand throughout: what is looked for is in the loans.
+  // Memberships that hold throughout: only the leases are under test.
   static ShareLeaseClient::MembershipCheck MembershipFor(int) {
     return [](double) { return shared::Condition{"slot/none", 0}; };
   }
-  void Take(int i, ShareLeaseClient::OutgoingCalls asks) {
-    for (auto& a : asks) calls[static_cast<size_t>(i)].push_back({std::move(a), std::nullopt});
+  void Take(int i, ShareLeaseClient::OutgoingCalls outgoing) {
+    for (auto& call : outgoing) calls[static_cast<size_t>(i)].push_back({std::move(call), std::nullopt});
   }
   struct InFlightCall {
-    ShareLeaseClient::OutgoingCall ask;
+    ShareLeaseClient::OutgoingCall call;
     std::optional<shared::Reply> reply;
   };
   bool RunDue(int i) {
-    ShareLeaseClient& b = *clients[static_cast<size_t>(i)];
-    ShareLeaseClient::OutgoingCalls asks;
-    if (b.NextDue() >= 1e299) {
-      b.SetDemand(0.5, now, &asks);
-    } else if (b.NextDue() <= now) {
-      b.SetDemand(0.5, now, &asks);
-      b.OnTimer(now, &asks);
+    ShareLeaseClient& client = *clients[static_cast<size_t>(i)];
+    ShareLeaseClient::OutgoingCalls outgoing;
+    if (client.NextDue() >= 1e299) {
+      client.SetDemand(0.5, now, &outgoing);
+    } else if (client.NextDue() <= now) {
+      client.SetDemand(0.5, now, &outgoing);
+      client.OnTimer(now, &outgoing);
     }
-    if (asks.empty()) return false;
-    Take(i, std::move(asks));
+    if (outgoing.empty()) return false;
+    Take(i, std::move(outgoing));
     return true;
   }
   bool Execute(int i) {
     for (InFlightCall& u : calls[static_cast<size_t>(i)]) {
       if (u.reply) continue;
-      u.reply = store.Take(u.ask.call, now);
+      u.reply = store.Take(u.call.call, now);
       return true;
     }
     return false;
@@ -406,9 +408,9 @@
     InFlightCall u = std::move(c.front());
     c.pop_front();
     if (lose) return true;
-    ShareLeaseClient::OutgoingCalls asks;
-    clients[static_cast<size_t>(i)]->OnReply(now, u.ask.id, *u.reply, &asks);
-    Take(i, std::move(asks));
+    ShareLeaseClient::OutgoingCalls outgoing;
+    clients[static_cast<size_t>(i)]->OnReply(now, u.call.id, *u.reply, &outgoing);
+    Take(i, std::move(outgoing));
     return true;
   }
   std::string StateText() {
@@ -416,9 +418,9 @@
     for (size_t i = 0; i < 3; ++i) {
       text += clients[i]->Fingerprint(now) + "#";
       for (InFlightCall& u : calls[i]) {
-        text += "c" + std::to_string(static_cast<int>(u.ask.call.kind));
-        for (auto& c : u.ask.call.batch.conditions) text += c.key + std::to_string(c.version) + ",";
-        for (auto& c : u.ask.call.batch.changes) text += c.key + c.value.value_or("-") + ",";
+        text += "c" + std::to_string(static_cast<int>(u.call.call.kind));
+        for (auto& c : u.call.call.batch.conditions) text += c.key + std::to_string(c.version) + ",";
+        for (auto& c : u.call.call.batch.changes) text += c.key + c.value.value_or("-") + ",";
         if (u.reply) {
           text +=
               "r" + std::to_string(static_cast<int>(u.reply->outcome)) + std::to_string(u.reply->revision);
@@ -446,7 +448,7 @@
 
 class StateSpaceSearch {
  public:
-  // In CI; IVYGW_SEARCH_STATES asks for more.
+  // The default is for CI; IVYGW_SEARCH_STATES overrides it.
   static size_t MaxStates() {
     const char* more = std::getenv("IVYGW_SEARCH_STATES");
     return more != nullptr ? std::strtoull(more, nullptr, 10) : 80000;
@@ -479,10 +481,11 @@
   std::unordered_set<size_t> visited_;
 };
 
-TEST(Lending, EveryOrderOfThreeKeepsTheSum) {
+TEST(Lending, EveryInterleavingOfThreeKeepsTheSum) {
   StateSpaceSearch search;
-  std::printf("three gateways, one answer lost: %zu states%s, the whole in use in %zu\n", search.states,
-              search.states >= StateSpaceSearch::MaxStates() ? " (cut there)" : ", all of them", search.used);
+  std::printf("three gateways, one lost reply: %zu states%s, fully used in %zu\n", search.states,
+              search.states >= StateSpaceSearch::MaxStates() ? " (limit reached)" : ", exhaustive",
+              search.used);
   EXPECT_EQ(search.violations, 0u);
   EXPECT_GT(search.used, 100u);
 }
--- a/tests/rig/fleet_rig.h
+++ b/tests/rig/fleet_rig.h
@@ -1,6 +1,5 @@
-// Several gateways that know of each other, as processes of the program round one shared engine, and a
-// backend that counts what it did. Faults come from the test: a process is stopped at a step of its own,
-// killed, or let go on.
+// Runs several gateway processes on one shared engine, and a backend that counts what it executed. Tests
+// inject faults: a process is stopped at one of its stop points, killed, or resumed.
 #ifndef IVYGW_TESTS_FLEET_RIG_H_
 #define IVYGW_TESTS_FLEET_RIG_H_
 
@@ -20,7 +19,7 @@
 
 namespace rig {
 
-// All that an operator's call is answered with, to the end of its connection.
+// Sends an operator's call and returns the whole reply, up to the end of the connection.
 inline std::string AdminCall(int port, const std::string& call) {
   auto wire = Wire::To(port);
   wire->Write(call + "\n");
@@ -39,7 +38,7 @@
   return metrics;
 }
 
-// Asked again and again until it holds; what never does fails the test.
+// Polls until `holds` returns true; returns false after kLimitS.
 template <typename Holds>
 bool Eventually(Holds holds) {
   for (int i = 0; i < kLimitS * 50; ++i) {
@@ -49,11 +48,10 @@
   return false;
 }
 
-// A backend that does what it is asked for, once for each key as its group remembers, and tells how often it
-// did it.
+// A backend that executes each idempotency key once, and counts the attempts and executions of each request.
 class RecordingBackend {
  public:
-  // Each of these waits until it may go on.
+  // While Hold(true) is in effect, requests wait before they are executed.
   explicit RecordingBackend(std::string padding = "")
       : backend([this, padding = std::move(padding)](const Message& m, Wire&) {
           std::string key = m.Header("Work-Key"), again = m.Header("Idempotency-Key");
@@ -79,7 +77,7 @@
     std::lock_guard lock(mutex_);
     return attempts_[key];
   }
-  Event received;  // a request has come
+  Event received;  // a request has arrived
 
  private:
   std::mutex mutex_;
@@ -97,7 +95,7 @@
   std::string engine = "sqlite";
   json ledger = {{"key_header", "Work-Key"}, {"patience_s", 10}, {"life_s", 600}};
   const char* program = IVYGW;
-  std::function<void(json* config)> change = [](json*) {};  // of each one's configuration
+  std::function<void(json* config)> change = [](json*) {};  // applied to each gateway's configuration
 };
 
 class Fleet {
@@ -109,7 +107,7 @@
     discovery_.Set(entries);
   }
   ~Fleet() {
-    if (redis_) redis_->MendAll();  // so that they can leave
+    if (redis_) redis_->MendAll();  // so that the gateways can leave
     gateways_.clear();
     std::filesystem::remove_all(folder_);
   }
@@ -139,7 +137,7 @@
     options_.change(&config);
     return config;
   }
-  // Is a member, and serves, when this returns. `stop_at`: the step at which it stops itself; 0: none.
+  // Returns once the gateway is a member and ready. `stop_at`: the stop point at which it stops; 0: none.
   Process& Start(const std::string& name, int stop_at = 0) {
     std::map<std::string, std::string> environment;
     if (stop_at > 0) environment["IVYGW_STOP_AT"] = std::to_string(stop_at);
@@ -159,13 +157,13 @@
   Process& of(const std::string& name) { return *gateways_.at(name); }
   void End(const std::string& name) { gateways_.erase(name); }
   bool has(const std::string& name) const { return gateways_.count(name) != 0; }
-  // The engine, where it is the stand-in of Redis: each gateway's way there is a relay of its own.
+  // The Redis stand-in, if it is the engine; each gateway reaches it through its own relay.
   RedisHost& redis() {
     if (!redis_) redis_ = std::make_unique<RedisHost>();
     return *redis_;
   }
   std::string file() const { return folder_ + "/fleet.db"; }
-  // As the gateway sees them: names of who is there.
+  // Names of the members that this gateway sees.
   std::set<std::string> Seen(const std::string& name) {
     std::set<std::string> seen;
     std::istringstream lines(AdminCall(of(name).admin, "members"));
@@ -189,9 +187,9 @@
   std::map<std::string, std::unique_ptr<Process>> gateways_;
 };
 
-// A request with a key of its own; sent again as it is by a client that comes back.
-inline std::string Keyed(const std::string& cls, const std::string& key, const std::string& body = "b",
-                         int timeout_ms = 30000) {
+// A request with an idempotency key; a retry sends the same text again.
+inline std::string KeyedRequest(const std::string& cls, const std::string& key, const std::string& body = "b",
+                                int timeout_ms = 30000) {
   std::string text = Request(cls, 1, timeout_ms, "Work-Key: " + key + "\r\n", body);
   return text;
 }
