--- a/system/adapters/replicated_table/core_node.cpp
+++ b/system/adapters/replicated_table/core_node.cpp
@@ -42,7 +42,7 @@
       options_(std::move(options)),
       events_(std::move(events)),
       incarnation_(RandomId()),
-      voters_(replication::VotersToBear(static_cast<size_t>(settings.machine_failures))),
+      voters_(replication::VotersToTolerate(static_cast<size_t>(settings.machine_failures))),
       host_(io, HostEvents()),
       known_(settings.ip, SeedHosts(settings)),
       tick_timer_(io),
--- a/system/adapters/transport/links.cpp
+++ b/system/adapters/transport/links.cpp
@@ -58,9 +58,10 @@
     reader_.Add(bytes);
     for (;;) {
       std::string_view content;
-      FrameReader::Got got = reader_.Next(&content);
-      if (got == FrameReader::Got::kMore) break;
-      std::optional<Message> message = got == FrameReader::Got::kFrame ? Decode(content) : std::nullopt;
+      FrameReader::ReadStatus got = reader_.Next(&content);
+      if (got == FrameReader::ReadStatus::kIncomplete) break;
+      std::optional<Message> message =
+          got == FrameReader::ReadStatus::kFrame ? Decode(content) : std::nullopt;
       if (!message) return Lost();
       if (std::holds_alternative<Ping>(*message)) {
         Send(Pong{std::get<Ping>(*message).number});
--- a/system/decisions/messages/codec.cpp
+++ b/system/decisions/messages/codec.cpp
@@ -26,20 +26,20 @@
   }
 }
 
-FrameReader::Got FrameReader::Next(std::string_view* content) {
+FrameReader::ReadStatus FrameReader::Next(std::string_view* content) {
   if (at_ > 0 && (at_ == in_.size() || at_ > size_t{64} * 1024)) {
     in_.erase(0, at_);
     at_ = 0;
     if (in_.empty() && in_.capacity() > size_t{256} * 1024) in_.shrink_to_fit();
   }
-  if (in_.size() - at_ < 4) return Got::kMore;
+  if (in_.size() - at_ < 4) return ReadStatus::kIncomplete;
   size_t n = 0;
   for (size_t i = 0; i < 4; ++i) n = n << 8 | static_cast<unsigned char>(in_[at_ + i]);
-  if (n > kMaxFrameBytes) return Got::kBad;
-  if (in_.size() - at_ - 4 < n) return Got::kMore;
+  if (n > kMaxFrameBytes) return ReadStatus::kTooLong;
+  if (in_.size() - at_ - 4 < n) return ReadStatus::kIncomplete;
   *content = std::string_view(in_).substr(at_ + 4, n);
   at_ += 4 + n;
-  return Got::kFrame;
+  return ReadStatus::kFrame;
 }
 
 }  // namespace ivygw::messages
--- a/system/decisions/messages/codec.h
+++ b/system/decisions/messages/codec.h
@@ -21,9 +21,9 @@
 class FrameReader {
  public:
   void Add(std::string_view bytes) { in_.append(bytes); }
-  enum class Got { kFrame, kMore, kBad };
+  enum class ReadStatus { kFrame, kIncomplete, kTooLong };
   // kFrame: `content` is the next one's, valid until the next call.
-  Got Next(std::string_view* content);
+  ReadStatus Next(std::string_view* content);
 
  private:
   std::string in_;
--- a/system/decisions/replication/membership_manager.h
+++ b/system/decisions/replication/membership_manager.h
@@ -32,10 +32,10 @@
   Duration silent_for{0};  // since the last heartbeat that it has answered; 0 for oneself
 };
 
-inline constexpr size_t kLeastVoters = 3;
+inline constexpr size_t kMinVoters = 3;
 // How many members there should be, so that a majority is left where so many of them lose their disks at
 // once.
-constexpr size_t VotersToBear(size_t failures) { return std::max(kLeastVoters, 2 * failures + 1); }
+constexpr size_t VotersToTolerate(size_t failures) { return std::max(kMinVoters, 2 * failures + 1); }
 
 // The next membership, one member replaced or added; none where nothing is due. `voters`: how many members
 // there should be.
--- a/system/decisions/replication/replica.h
+++ b/system/decisions/replication/replica.h
@@ -49,7 +49,7 @@
   std::string address;            // IP of this core
   std::string zone;               // its failure domain
   uint64_t incarnation = 0;       // random, drawn at each start of the process
-  size_t voters = kLeastVoters;   // how many members an epoch should have
+  size_t voters = kMinVoters;     // how many members an epoch should have
   Duration command_timeout{0.9};  // for a command or a read to end
 };
 
--- a/tests/system/control_test.cpp
+++ b/tests/system/control_test.cpp
@@ -205,7 +205,7 @@
   world->For(kSyncTime);
   if (!world->broken().empty()) return;
   size_t members = world->rules().newest_membership().members.size();
-  if (members != replication::VotersToBear(2))
+  if (members != replication::VotersToTolerate(2))
     world->rules().Broken(std::to_string(members) + " members where two disks may be lost");
   LoseDisksAndPower(world, 2, 2);
 }
@@ -548,7 +548,7 @@
 // majority for good, and nothing is served again.
 TEST(Control, DisksOfVotersThatWereAddedAreLostWhileAllOthersLosePower) {
   WorldOptions options;
-  options.voters = replication::VotersToBear(2);
+  options.voters = replication::VotersToTolerate(2);
   RunDays("disks of added voters lost", DisksOfAddedVotersLost, Seeds(8), options);
 }
 TEST(Control, CutOffWhileADiskIsLost) {
--- a/tests/system/decisions_test.cpp
+++ b/tests/system/decisions_test.cpp
@@ -607,7 +607,7 @@
   messages::FrameReader reader;
   for (char c : frame) reader.Add(std::string_view(&c, 1));
   std::string_view content;
-  CHECK(reader.Next(&content) == messages::FrameReader::Got::kFrame);
+  CHECK(reader.Next(&content) == messages::FrameReader::ReadStatus::kFrame);
   auto back = messages::Decode(content);
   CHECK(back && std::get<messages::Push>(*back).items == push.items);
   CHECK(std::get<messages::Push>(*back).removed_keys == push.removed_keys);
@@ -619,7 +619,7 @@
   }
   messages::FrameReader large;
   large.Add(std::string("\xff\xff\xff\xff", 4));
-  CHECK(large.Next(&content) == messages::FrameReader::Got::kBad);
+  CHECK(large.Next(&content) == messages::FrameReader::ReadStatus::kTooLong);
 }
 
 namespace {
