--- a/system/decisions/messages/bounded_archive.h
+++ b/system/decisions/messages/bounded_archive.h
@@ -1,5 +1,5 @@
-// Values as bytes by cereal's portable binary form, and back with bounds: for frames, records on disk and
-// files. Pure.
+// Serialization in cereal's portable binary format, and deserialization of untrusted bytes with bounds
+// checks. Used for frames, records on disk and files. No I/O.
 #ifndef IVYGW_SYSTEM_MESSAGES_BOUNDED_ARCHIVE_H_
 #define IVYGW_SYSTEM_MESSAGES_BOUNDED_ARCHIVE_H_
 
@@ -18,24 +18,26 @@
 
 namespace ivygw::messages {
 
-// Reads what cereal's portable binary archive has written. No length in it is believed past the bytes that
-// are there, as each element takes one at least. Every machine of a system has one byte order; the first byte
-// tells it. Throws cereal::Exception where the bytes are no such value.
+// Reads the output of cereal's portable binary archive. Rejects a container size that exceeds the number of
+// remaining bytes, since each element takes at least one byte, so a corrupt size can't cause a huge
+// allocation. The first byte is the writer's byte order, which must be that of this machine: all machines of
+// a system share one. Throws cereal::Exception if the bytes are not a valid encoding.
 class BoundedInput : public cereal::InputArchive<BoundedInput, cereal::AllowEmptyClassElision> {
  public:
   explicit BoundedInput(std::string_view bytes) : InputArchive(this), bytes_(bytes) {
     uint8_t order = 0;
     loadBinary(&order, 1);
-    if (order != cereal::portable_binary_detail::is_little_endian()) throw cereal::Exception("byte order");
+    if (order != cereal::portable_binary_detail::is_little_endian())
+      throw cereal::Exception("byte order differs from this machine's");
   }
-  void loadBinary(void* to, size_t n) {
-    if (n > bytes_.size()) throw cereal::Exception("short");
-    if (n == 0) return;  // `to` may be null then
-    std::memcpy(to, bytes_.data(), n);
-    bytes_.remove_prefix(n);
+  void loadBinary(void* destination, size_t size) {
+    if (size > bytes_.size()) throw cereal::Exception("unexpected end of data");
+    if (size == 0) return;  // `destination` may be null then
+    std::memcpy(destination, bytes_.data(), size);
+    bytes_.remove_prefix(size);
   }
-  // Bytes that have not been read.
-  size_t left() const { return bytes_.size(); }
+  // The number of bytes that have not been read yet.
+  size_t remaining() const { return bytes_.size(); }
 
  private:
   std::string_view bytes_;
@@ -44,10 +46,10 @@
 template <class T>
 requires std::is_arithmetic_v<T>
 void CEREAL_LOAD_FUNCTION_NAME(BoundedInput& archive, T& value) {
-  if constexpr (std::is_same_v<T, bool>) {  // a byte that is neither 0 nor 1 is no bool
+  if constexpr (std::is_same_v<T, bool>) {  // any other byte than 0 or 1 would be an invalid bool
     uint8_t byte = 0;
     archive.loadBinary(&byte, 1);
-    if (byte > 1) throw cereal::Exception("bool");
+    if (byte > 1) throw cereal::Exception("invalid bool");
     value = byte == 1;
   } else {
     archive.loadBinary(&value, sizeof(value));
@@ -60,7 +62,7 @@
 template <class T>
 void CEREAL_SERIALIZE_FUNCTION_NAME(BoundedInput& archive, cereal::SizeTag<T>& tag) {
   archive(tag.size);
-  if (tag.size > archive.left()) throw cereal::Exception("length");
+  if (tag.size > archive.remaining()) throw cereal::Exception("container size exceeds the data");
 }
 template <class T>
 void CEREAL_SERIALIZE_FUNCTION_NAME(BoundedInput& archive, cereal::NameValuePair<T>& pair) {
@@ -73,9 +75,9 @@
   explicit StringBuffer(std::string* out) : out_(out) {}
 
  protected:
-  std::streamsize xsputn(const char* bytes, std::streamsize n) override {
-    out_->append(bytes, static_cast<size_t>(n));
-    return n;
+  std::streamsize xsputn(const char* bytes, std::streamsize count) override {
+    out_->append(bytes, static_cast<size_t>(count));
+    return count;
   }
   int_type overflow(int_type c) override {
     out_->push_back(static_cast<char>(c));
@@ -101,14 +103,14 @@
   return out;
 }
 
-// None where the bytes are not exactly one such value.
+// Returns nullopt unless the bytes are exactly one encoded value, without trailing bytes.
 template <class T>
 std::optional<T> Deserialize(std::string_view bytes) {
-  try {  // the library's edge: lengths past the end, a kind that isn't there
+  try {  // cereal reports malformed input, such as an invalid variant index, by exceptions
     BoundedInput archive(bytes);
     T value;
     archive(value);
-    if (archive.left() > 0) return std::nullopt;
+    if (archive.remaining() > 0) return std::nullopt;
     return value;
   } catch (const std::exception&) {
     return std::nullopt;
--- a/system/decisions/messages/codec.h
+++ b/system/decisions/messages/codec.h
@@ -1,4 +1,5 @@
-// Messages as bytes (cereal, portable binary) in frames: a length of four bytes, then so many. Pure.
+// Encoding of messages as frames: a 4-byte big-endian length, then the message in cereal's portable binary
+// format. No I/O.
 #ifndef IVYGW_SYSTEM_MESSAGES_CODEC_H_
 #define IVYGW_SYSTEM_MESSAGES_CODEC_H_
 
@@ -10,24 +11,29 @@
 
 namespace ivygw::messages {
 
-inline constexpr size_t kMaxFrameBytes = size_t{32} << 20;  // bytes; a longer frame ends its connection
+inline constexpr size_t kMaxFrameBytes = size_t{32} << 20;  // a longer frame ends its connection
 
-// The frame, header included. A message over kMaxFrameBytes is a broken invariant of its sender.
+// Returns the whole frame, including the length. Aborts if the message exceeds kMaxFrameBytes: senders must
+// keep their messages smaller.
 std::string Encode(const Message& message);
-// A frame's content; none where it is no message of this form.
+// Decodes the content of a frame. Returns nullopt if it is not a valid message.
 std::optional<Message> Decode(std::string_view content);
 
-// Frames out of a stream of bytes.
+// Splits a byte stream into frames.
 class FrameReader {
  public:
-  void Add(std::string_view bytes) { in_.append(bytes); }
-  enum class ReadStatus { kFrame, kIncomplete, kTooLong };
-  // kFrame: `content` is the next one's, valid until the next call.
+  void Add(std::string_view bytes) { buffer_.append(bytes); }
+  enum class ReadStatus {
+    kFrame,       // a frame was read
+    kIncomplete,  // more bytes are needed
+    kTooLong      // the frame exceeds kMaxFrameBytes
+  };
+  // Reads the next frame. On kFrame, `content` is set to its content, which stays valid until the next call.
   ReadStatus Next(std::string_view* content);
 
  private:
-  std::string in_;
-  size_t at_ = 0;
+  std::string buffer_;
+  size_t offset_ = 0;  // of the first unread byte in buffer_
 };
 
 }  // namespace ivygw::messages
--- a/system/decisions/messages/control.h
+++ b/system/decisions/messages/control.h
@@ -1,5 +1,6 @@
-// The messages between the system's processes, as plain values serialised by cereal. The protocol version
-// rises with every change that an older program can't read; tests/golden/system.txt holds the bytes. No I/O.
+// Messages between the processes of the system, as plain structs serialized by cereal. Every change that an
+// older program can't read increments the protocol version; tests/golden/system.txt holds the expected bytes.
+// No I/O.
 #ifndef IVYGW_SYSTEM_MESSAGES_CONTROL_H_
 #define IVYGW_SYSTEM_MESSAGES_CONTROL_H_
 
@@ -18,65 +19,66 @@
 
 inline constexpr uint16_t kProtocolVersion = 2;
 
-// The first message of each side of a connection.
+// The first message that each side of a connection sends.
 struct Hello {
   uint16_t protocol_version = kProtocolVersion;
   std::string node, role, zone;
-  uint64_t incarnation = 0;        // of the process, drawn at random at each start
-  std::vector<std::string> cores;  // IP addresses: a core names the members and those it is connected to
+  uint64_t incarnation = 0;        // random ID of this run of the process
+  std::vector<std::string> cores;  // sent by cores: IP addresses of the members and of connected cores
 };
 
-// Core to core, beside PeerMessage (messages/replication.h): the backends whose heartbeats have come to this
-// registry since its last message of this kind.
+// Core to core: the backends whose heartbeats this registry has received since it last sent this message.
+// Messages of the replication protocol are PeerMessage (messages/replication.h).
 struct BackendsSeen {
   std::vector<std::string> backend_ids;
 };
 
-// Gateway to core, after its Hello: asks for a list of what differs. The core answers with Push messages and
-// a CoreStatus with `list_complete`; a CoreStatus without it means that this core can't list now.
+// Gateway to core, after its Hello: requests a list of the items that differ from the gateway's. The core
+// answers with Push messages and then a CoreStatus with `list_complete` set. A CoreStatus without it means
+// that the core can't serve a list at present.
 struct RangeDigests {
-  std::vector<uint64_t> digests;  // by range of keys, of what the gateway holds; tombstones left out
+  std::vector<uint64_t> digests;  // of the gateway's items, one per key range, without tombstones
 };
 
-// Core to gateway: items that have changed, or a part of a list.
+// Core to gateway: changed items, or one part of a list.
 struct Push {
   uint64_t number = 0;     // acknowledged by PushAck
-  bool list_part = false;  // a part of a list
+  bool list_part = false;  // part of a requested list, not an update
   uint64_t revision = 0;   // of the sender's table
   std::vector<Item> items;
-  std::vector<std::string> removed_keys;  // under which the table holds nothing any more
+  std::vector<std::string> removed_keys;  // keys whose items are no longer in the table
 };
 struct PushAck {
   uint64_t number = 0;
 };
-// A gateway that holds a lease: it is connected to a core, or was until a moment ago.
+// A gateway that holds a lease: it is connected to a core, or was until recently.
 struct GatewayInfo {
   std::string node, zone;
   bool operator==(const GatewayInfo&) const = default;
 };
-// Core to gateway: what one core knows of the others and of the gateways; the end of a list.
+// Core to gateway: what this core knows of the other cores and the gateways. Also marks the end of a list.
 struct CoreStatus {
-  uint32_t gateway_count = 0;  // that hold a lease
-  // The gateway has been sent all that was decided before it asked, and what has come since.
+  uint32_t gateway_count = 0;  // gateways that hold a lease
+  // The gateway has been sent everything decided before its request and all later changes so far.
   bool list_complete = false;
-  std::vector<std::string> cores;     // addresses of all core machines to hold connections to
-  std::vector<GatewayInfo> gateways;  // that hold a lease, where they are few enough to be named
+  std::vector<std::string> cores;     // addresses of all core machines that the gateway should connect to
+  std::vector<GatewayInfo> gateways;  // that hold a lease; empty if there are too many to list
   uint64_t epoch = 0;
-  std::vector<std::string> voters;      // addresses of the members of that epoch
-  uint64_t list_revision = 0;           // at the end of a list: of the table when the list began
-  std::vector<uint32_t> listed_ranges;  // at the end of a list: ranges of which everything has been sent
+  std::vector<std::string> voters;      // addresses of the members of `epoch`
+  uint64_t list_revision = 0;           // at the end of a list: the table's revision when the list began
+  std::vector<uint32_t> listed_ranges;  // at the end of a list: key ranges that were sent in full
   bool operator==(const CoreStatus&) const = default;
 };
-// One gateway's use of one tenant's rate limit.
+// A gateway's use of one tenant's rate limit.
 struct TenantUsage {
   std::string tenant;
-  float rate = 0;          // the limit, requests a second
-  float burst = 0;         // the limit, requests
-  uint64_t version = 0;    // of the item that the limit is from
-  float wanted_share = 0;  // of the limit, that the gateway asks this core for
-  float held_share = 0;    // of the limit, that it still holds of this core
-  float shortfall = 0;     // requests that it has no tokens for now
-  uint64_t admitted = 0;   // requests, since the gateway's start
+  float rate = 0;          // of the limit, requests per second
+  float burst = 0;         // of the limit, requests
+  uint64_t version = 0;    // of the item that defines the limit
+  float wanted_share = 0;  // fraction of the limit that the gateway requests from this core
+  float held_share = 0;    // fraction of the limit that this core has granted and that is still valid
+  float shortfall = 0;     // requests for which the gateway lacks tokens now
+  uint64_t admitted = 0;   // requests admitted since the gateway started
 };
 // Gateway to registry; answered by QuotaGrants with the same number.
 struct UsageReport {
@@ -85,9 +87,9 @@
 };
 struct QuotaGrant {
   std::string tenant;
-  float share = 0;     // of the limit, granted for a lease term
-  float tokens = 0;    // requests, granted for good
-  uint64_t total = 0;  // requests that all gateways have admitted, as far as this core knows
+  float share = 0;     // fraction of the limit, granted for one lease term
+  float tokens = 0;    // requests, granted without expiry
+  uint64_t total = 0;  // requests that all gateways have admitted, to this core's knowledge
 };
 struct QuotaGrants {
   uint64_t number = 0;
@@ -100,7 +102,7 @@
   uint64_t number = 0;
 };
 
-// Between the processes of one core machine: an outside call that is forwarded, and its answer.
+// Between the processes of one core machine: an external call that is forwarded, and its result.
 struct ForwardedCall {
   uint64_t number = 0;
   std::string name, body;
--- a/system/decisions/messages/replication.h
+++ b/system/decisions/messages/replication.h
@@ -1,5 +1,5 @@
-// The messages between the cores of one replicated table, and the values that they carry. Plain data;
-// serialised by cereal. docs/design/control-state.md describes the protocol.
+// Messages between the cores that replicate one table, and the values that they carry: plain structs
+// serialized by cereal. docs/design/control-state.md describes the protocol.
 #ifndef IVYGW_SYSTEM_MESSAGES_REPLICATION_H_
 #define IVYGW_SYSTEM_MESSAGES_REPLICATION_H_
 
@@ -16,17 +16,17 @@
 namespace ivygw::messages {
 
 // A proposal number, in the terms of "Paxos Made Simple" (ballot number in CASPaxos): a total order over all
-// attempts to decide one revision. `proposer` is the proposer's incarnation, drawn at random at each process
+// proposals for one revision. `proposer` is the proposer's incarnation, drawn at random at each process
 // start, so that no two proposals share a number.
 struct ProposalNumber {
   uint64_t counter = 0;
   uint64_t proposer = 0;
-  // NOLINTNEXTLINE(modernize-use-nullptr): version 14 takes the comparison it generates for a null pointer.
+  // NOLINTNEXTLINE(modernize-use-nullptr): false positive of version 14 on the generated comparison.
   auto operator<=>(const ProposalNumber&) const = default;
 };
 
-// One voting core. `store_id` is drawn when the store on disk is created, so a machine that lost its disk is
-// another member.
+// One voting core. `store_id` is drawn at random when the store on disk is created, so a machine that lost
+// its disk counts as a different member.
 struct Member {
   std::string address;  // IP
   uint64_t store_id = 0;
@@ -35,12 +35,12 @@
   bool operator==(const Member&) const = default;
 };
 
-// The voting cores of an epoch. Epoch 0: not known yet.
+// The voting cores of an epoch. Epoch 0 means that the membership is not known yet.
 struct Membership {
   uint64_t epoch = 0;
   std::vector<Member> members;
   size_t Quorum() const { return members.size() / 2 + 1; }
-  // Whether the store of that id, at that address, votes.
+  // Whether the core at this address, with this store, is a voting member.
   bool Contains(const std::string& address, uint64_t store_id) const {
     return std::any_of(members.begin(), members.end(), [&](const Member& member) {
       return member.address == address && member.store_id == store_id;
@@ -56,15 +56,16 @@
   bool operator==(const PastVersion&) const = default;
 };
 
-// An item as it stands in a table.
+// An item in a table, with the revision that last changed it.
 struct Record {
   Item item;
-  uint64_t revision = 0;          // of the change that wrote it last
-  std::vector<PastVersion> past;  // oldest first; of tables whose callers choose versions freely
+  uint64_t revision = 0;  // of the change that last wrote it
+  std::vector<PastVersion>
+      past;  // by version, lowest first; only in tables whose callers choose versions freely
   bool operator==(const Record&) const = default;
 };
 
-// Identifies a command for ever: the incarnation of the core that received it, and a number within that.
+// Globally unique ID of a command: the incarnation of the core that received it, and a sequence number.
 struct CommandId {
   uint64_t incarnation = 0;
   uint64_t number = 0;
@@ -72,34 +73,34 @@
   auto operator<=>(const CommandId&) const = default;
 };
 
-// What is decided for one revision of a table: all of it or nothing.
+// The value decided for one revision of a table. Applied atomically.
 struct Change {
   uint64_t revision = 0;
-  std::vector<CommandId> commands;  // whose effects these are
+  std::vector<CommandId> commands;  // the commands that this change carries out
   std::vector<Record> records;
-  std::vector<std::string> pruned;       // keys of tombstones that are removed
-  std::optional<Membership> membership;  // the epoch that begins after this revision
+  std::vector<std::string> pruned;       // keys of the tombstones to remove
+  std::optional<Membership> membership;  // of the epoch that begins after this revision
   bool operator==(const Change&) const = default;
 };
 
-// A change that an acceptor has accepted and that is not known to be decided.
+// A change that an acceptor has accepted and does not know to be decided.
 struct AcceptedChange {
   ProposalNumber number;
   Change change;
 };
 
-// What every message between cores begins with.
+// The header of every message between cores.
 struct PeerHeader {
   uint64_t epoch = 0;  // of the sender's membership
   uint64_t store_id = 0;
   uint64_t incarnation = 0;       // of the sender's process
-  uint64_t revision = 0;          // decided and applied by the sender
-  uint64_t durable_revision = 0;  // the highest revision that the sender's disk holds
+  uint64_t revision = 0;          // the last one that the sender has applied
+  uint64_t durable_revision = 0;  // the last one that is durable on the sender's disk
   std::string zone;
 };
 
-// Phase 1a: asks for a promise to accept nothing below `number`, for `revision` and all that follow in this
-// epoch.
+// Phase 1a: requests a promise to accept no proposal below `number`, for `revision` and all later ones of
+// this epoch.
 struct Prepare {
   uint64_t revision = 0;
   ProposalNumber number;
@@ -121,20 +122,20 @@
   uint64_t revision = 0;
   ProposalNumber number;
 };
-// The negative answer to Prepare or Accept: a higher number has been promised.
+// Negative reply to Prepare or Accept: the acceptor has promised a higher number.
 struct Rejected {
   uint64_t revision = 0;
   ProposalNumber number, promised;
 };
-// Tells every peer that the change which was proposed under this number is decided.
+// Notifies every peer that the change proposed under this number is decided.
 struct Commit {
   uint64_t revision = 0;
   ProposalNumber number;
 };
 
-// Anti-entropy: asks for what has changed after `from_revision`. The answer is one part; the receiver goes on
-// from its `to_revision` until that is its `end_revision`. Tombstones that were pruned up to revision
-// `pruned_known` don't matter to it.
+// Anti-entropy: requests the changes after `from_revision`. The reply is a Delta with one part of them; the
+// requester continues from its `to_revision` until that equals `end_revision`. The requester already knows
+// all tombstone removals up to revision `pruned_known`.
 struct DeltaRequest {
   uint64_t from_revision = 0, pruned_known = 0;
 };
@@ -145,10 +146,12 @@
 struct Delta {
   uint64_t from_revision = 0, to_revision = 0;
   uint64_t end_revision = 0;  // the sender's revision
-  bool reset = false;  // begins anew from an empty table: the sender no longer knows all prunings that matter
+  // The receiver must start over from an empty table: the sender no longer remembers all tombstone removals
+  // that the receiver lacks.
+  bool reset = false;
   Membership membership;          // at `end_revision`
-  std::vector<Record> records;    // by revision
-  std::vector<PrunedKey> pruned;  // of the last part: all prunings that matter
+  std::vector<Record> records;    // in order of revision
+  std::vector<PrunedKey> pruned;  // in the last part: all tombstone removals that the receiver lacks
 };
 
 struct Heartbeat {
@@ -157,8 +160,9 @@
 struct HeartbeatReply {
   uint64_t number = 0;
 };
-// A read (read index) asks members for their revision. `undecided`: a change after the header's revision has
-// been accepted there.
+// Sent for a linearizable read (read index): asks a member for its revision, which is in the header of the
+// reply. `undecided`: the member has accepted a change after that revision and does not know whether it is
+// decided.
 struct ReadQuery {
   uint64_t number = 0;
 };
@@ -166,7 +170,7 @@
   uint64_t number = 0;
   bool undecided = false;
 };
-// The sender of an older epoch is told the current one; its message counted toward nothing.
+// Reply to a message of an older epoch, which was ignored: the current membership.
 struct EpochNotice {
   Membership membership;
 };
--- a/system/decisions/replication/catch_up.cpp
+++ b/system/decisions/replication/catch_up.cpp
@@ -18,7 +18,7 @@
 
 CatchUp::Step CatchUp::OnDelta(const std::string& from, const messages::Delta& delta) {
   if (!active_ || from != sender_ || delta.from_revision != cursor_) return Step::kIgnored;
-  // A sender that is behind one before it doesn't know all that its parts left out.
+  // A sender that is behind an earlier sender lacks changes that the earlier sender's parts relied on.
   if (delta.end_revision < furthest_end_) {
     sender_.clear();
     return Step::kIgnored;
@@ -30,8 +30,8 @@
     records_.clear();
     pruned_.clear();
   }
-  for (const Record& record : delta.records) Gather(record);
-  for (const messages::PrunedKey& pruned : delta.pruned) GatherPruned(pruned);
+  for (const Record& record : delta.records) AddRecord(record);
+  for (const messages::PrunedKey& pruned : delta.pruned) AddPruned(pruned);
   cursor_ = delta.to_revision;
   if (delta.to_revision < delta.end_revision) return Step::kRequestNext;
   end_ = delta.end_revision;
@@ -39,13 +39,13 @@
   return Step::kComplete;
 }
 
-void CatchUp::Gather(const Record& record) {
+void CatchUp::AddRecord(const Record& record) {
   auto pruned = pruned_.find(record.item.key);
   if (pruned != pruned_.end() && pruned->second < record.revision) pruned_.erase(pruned);
   records_[record.item.key] = record;
 }
 
-void CatchUp::GatherPruned(const messages::PrunedKey& pruned) {
+void CatchUp::AddPruned(const messages::PrunedKey& pruned) {
   auto it = records_.find(pruned.key);
   if (it != records_.end() && it->second.revision > pruned.revision) return;
   if (it != records_.end()) records_.erase(it);
--- a/system/decisions/replication/catch_up.h
+++ b/system/decisions/replication/catch_up.h
@@ -1,5 +1,5 @@
-// Catching up: gathers the parts of what a copy has missed (anti-entropy by revision), from one sender or
-// several in turn, until they make up one revision of the table. Pure; one thread.
+// Catch-up of a copy that has missed changes (anti-entropy by revision): collects the parts of a delta, from
+// one sender or several in turn, until they complete one revision of the table. No I/O; not thread-safe.
 #ifndef IVYGW_SYSTEM_REPLICATION_CATCH_UP_H_
 #define IVYGW_SYSTEM_REPLICATION_CATCH_UP_H_
 
@@ -15,50 +15,50 @@
 class CatchUp {
  public:
   bool Active() const { return active_; }
-  // Whose answer is awaited; empty where none is, as the connection to the last sender has ended.
+  // The core whose reply is awaited; empty if the connection to it has ended.
   const std::string& sender() const { return sender_; }
-  // The outstanding request was sent `timeout` ago or longer, and no part has come.
+  // Whether the outstanding request was sent `timeout` ago or longer without a reply.
   bool TimedOut(TimePoint now, Duration timeout) const {
     return active_ && !sender_.empty() && now >= requested_at_ + timeout;
   }
-  // A request is outstanding and may still be answered in time.
-  bool Waits(TimePoint now, Duration timeout) const {
+  // Whether a request is outstanding and has not timed out.
+  bool AwaitsReply(TimePoint now, Duration timeout) const {
     return active_ && !sender_.empty() && now < requested_at_ + timeout;
   }
 
-  // The request to `sender` to go on, or to begin for a copy at `revision`.
+  // Returns the request for `sender` that continues the catch-up, or begins one for a copy at `revision`.
   messages::DeltaRequest Request(TimePoint now, const std::string& sender, uint64_t revision);
   enum class Step {
     kIgnored,      // not what was requested
-    kRequestNext,  // more is to come from this sender
-    kComplete,     // what was gathered makes up revision `end`
+    kRequestNext,  // this sender has more parts
+    kComplete,     // the collected parts complete revision `end`
   };
   Step OnDelta(const std::string& from, const messages::Delta& delta);
-  // The connection to the sender has ended: another may go on.
+  // The connection to the sender has ended. The next request may go to another core.
   void OnSenderLost() { sender_.clear(); }
   void Finish() { *this = CatchUp(); }
 
-  // After kComplete.
+  // Valid after kComplete.
   uint64_t end() const { return end_; }
-  // The copy is to be replaced as a whole, not added to.
+  // The collected records replace the whole table instead of being merged into it.
   bool reset() const { return reset_; }
   const Membership& membership() const { return membership_; }
   const std::map<std::string, Record>& records() const { return records_; }
   const std::map<std::string, uint64_t>& pruned() const { return pruned_; }
 
  private:
-  void Gather(const Record& record);
-  void GatherPruned(const messages::PrunedKey& pruned);
+  void AddRecord(const Record& record);
+  void AddPruned(const messages::PrunedKey& pruned);
 
   bool active_ = false, reset_ = false;
   std::string sender_;
   TimePoint requested_at_;
-  uint64_t cursor_ = 0;        // all changes up to here have been gathered
-  uint64_t pruned_known_ = 0;  // tombstones pruned up to here don't matter
+  uint64_t cursor_ = 0;        // all changes up to this revision have been collected
+  uint64_t pruned_known_ = 0;  // tombstone removals up to this revision are known
   uint64_t end_ = 0, furthest_end_ = 0;
   Membership membership_;
   std::map<std::string, Record> records_;
-  std::map<std::string, uint64_t> pruned_;  // key, revision
+  std::map<std::string, uint64_t> pruned_;  // revision of the removal by key
 };
 
 }  // namespace ivygw::replication
--- a/system/decisions/replication/command_policy.cpp
+++ b/system/decisions/replication/command_policy.cpp
@@ -10,7 +10,7 @@
 
 bool SameContent(const Item& a, const Item& b) { return a.dropped == b.dropped && a.body == b.body; }
 
-// Kept by version, the highest kMaxPastVersions.
+// Inserts a version in order and keeps the kMaxPastVersions highest ones.
 void Remember(PastVersion version, std::vector<PastVersion>* past) {
   auto place =
       std::lower_bound(past->begin(), past->end(), version,
@@ -25,9 +25,11 @@
     if (past.version != item.version) continue;
     return {past.digest == DigestOf(item) ? Kind::kAlreadyApplied : Kind::kRejected, false, {}};
   }
-  bool cut = standing.past.size() >= kMaxPastVersions && item.version < standing.past.front().version;
-  if (cut) return {Kind::kIndeterminate, false, {}};
-  // Never taken: it changes nothing, but from now on its number is confirmed to this content only.
+  bool may_be_forgotten =
+      standing.past.size() >= kMaxPastVersions && item.version < standing.past.front().version;
+  if (may_be_forgotten) return {Kind::kIndeterminate, false, {}};
+  // The version was never used. Its content has no effect, as a newer version exists, but the version is
+  // recorded so that it can't be acknowledged with different content later.
   ItemEvaluation evaluation{Kind::kApply, false, standing};
   Remember({item.version, DigestOf(item)}, &evaluation.record.past);
   return evaluation;
--- a/system/decisions/replication/command_policy.h
+++ b/system/decisions/replication/command_policy.h
@@ -1,5 +1,6 @@
-// What a command changes in a table, or why it is rejected. Each owner of a table implements CommandPolicy;
-// it is the part of the state machine that knows what items mean. Pure; one thread.
+// Evaluation of commands: what a command changes in a table, or why it is rejected. Each owner of a table
+// implements CommandPolicy, the part of the state machine that depends on the meaning of the items. No I/O;
+// not thread-safe.
 #ifndef IVYGW_SYSTEM_REPLICATION_COMMAND_POLICY_H_
 #define IVYGW_SYSTEM_REPLICATION_COMMAND_POLICY_H_
 
@@ -12,22 +13,22 @@
 
 enum class RejectionCode {
   kNone,
-  kInvalid,   // can't be taken on top of what stands
-  kConflict,  // its version of an item was acknowledged with another content
+  kInvalid,   // invalid in the current state of the table
+  kConflict,  // its version of an item was acknowledged with different content
 };
 
 struct Rejection {
   RejectionCode code = RejectionCode::kNone;
-  std::string field;    // that is at fault
+  std::string field;    // the invalid field
   std::string message;  // for the caller
 };
 
 struct Evaluation {
   enum class Kind {
     kApply,           // `records` are to be written
-    kAlreadyApplied,  // nothing is to be written: all of it was acknowledged before
+    kAlreadyApplied,  // nothing is to be written: the command was acknowledged before
     kRejected,
-    kIndeterminate,  // whether it was acknowledged can no longer be told
+    kIndeterminate,  // its version is too old to know whether it was acknowledged
   };
   Kind kind = Kind::kAlreadyApplied;
   std::vector<Record> records;
@@ -37,30 +38,30 @@
 class CommandPolicy {
  public:
   virtual ~CommandPolicy() = default;
-  // Called for each record at the start, and for each that is written later, before any command is evaluated
-  // on top of it.
+  // Called for each record at startup and for each later write, before a command is evaluated against it.
   virtual void OnRecord(const Record& record) = 0;
   virtual void OnErased(const std::string& key) = 0;
-  // The table is replaced; OnRecord follows for each of its records.
+  // The whole table is replaced. OnRecord follows for each new record.
   virtual void OnReset() = 0;
-  // What these items change on top of `overlay`: the table, with the records of commands that are decided
-  // together with this one.
+  // Evaluates a command against `overlay`: the table with the records of the commands before it in the same
+  // change.
   virtual Evaluation Evaluate(const std::vector<Item>& items, const TableOverlay& overlay) const = 0;
-  // How many commands may be decided together.
+  // The maximum number of commands in one change.
   virtual size_t MaxCommandsInChange() const = 0;
 };
 
-// The version rules that all tables share, for one item on top of what stands under its key (null: nothing).
-// kApply: `record` is what is to stand.
+// The result of the version rules that all tables share, for one item. `record` is the record to write; it is
+// valid for kApply.
 struct ItemEvaluation {
   Evaluation::Kind kind = Evaluation::Kind::kAlreadyApplied;
-  bool replaces = false;  // the item's content takes effect, not only its number
+  bool replaces = false;  // the item's content takes effect; otherwise only its version is remembered
   Record record;
 };
-// `keep_past`: callers choose versions freely, so acknowledged versions are remembered with their contents.
+// `standing` is the current record of the item's key, or null. With `keep_past`, callers choose versions
+// freely, so acknowledged versions are remembered with digests of their content.
 ItemEvaluation EvaluateItem(const Item& item, const Record* standing, bool keep_past);
 
-// How many earlier versions of an item are remembered.
+// The maximum number of earlier versions of an item that are remembered.
 inline constexpr size_t kMaxPastVersions = 256;
 
 }  // namespace ivygw::replication
--- a/system/decisions/replication/command_queue.cpp
+++ b/system/decisions/replication/command_queue.cpp
@@ -6,7 +6,8 @@
 namespace ivygw::replication {
 namespace {
 
-constexpr size_t kMaxChangeBytes = size_t{1} << 20;  // of several commands; a single one may be larger
+constexpr size_t kMaxChangeBytes = size_t{1}
+                                   << 20;  // limit for several commands; a single command may be larger
 
 }  // namespace
 
@@ -62,11 +63,11 @@
   std::deque<Command> waiting = std::exchange(commands_, {});
   for (Command& command : waiting) {
     bytes += BytesOf(command.items);
-    bool room = change.commands.empty() ||
+    bool fits = change.commands.empty() ||
                 (change.commands.size() < policy_.MaxCommandsInChange() && bytes <= kMaxChangeBytes);
-    bool stays = command.confirming_read > 0 || !room ||
-                 AddTo(&next, &overlay, epoch, &command) == Disposition::kStays;
-    if (stays) commands_.push_back(std::move(command));
+    bool pending = command.confirming_read > 0 || !fits ||
+                   AddTo(&next, &overlay, epoch, &command) == Disposition::kPending;
+    if (pending) commands_.push_back(std::move(command));
   }
   for (const auto& [key, record] : overlay.written()) {
     change.records.push_back(record);
@@ -76,11 +77,10 @@
   return next;
 }
 
-// A command stays while it is part of the change, or waits for a later one.
 CommandQueue::Disposition CommandQueue::AddTo(NextChange* next, TableOverlay* overlay, uint64_t epoch,
                                               Command* command) const {
   if (command->membership) return AddMembership(&*next->change, epoch, *command);
-  if (next->change->membership) return Disposition::kStays;
+  if (next->change->membership) return Disposition::kPending;
   if (!command->prunes.empty()) return AddPrunes(&*next->change, *overlay, *command);
   return AddItems(next, overlay, *command);
 }
@@ -88,10 +88,10 @@
 CommandQueue::Disposition CommandQueue::AddMembership(Change* change, uint64_t epoch,
                                                       const Command& command) const {
   if (command.membership->epoch != epoch + 1) return Disposition::kEnded;
-  if (!change->commands.empty()) return Disposition::kStays;  // it is proposed alone
+  if (!change->commands.empty()) return Disposition::kPending;  // proposed alone, in a later change
   change->membership = command.membership;
   change->commands.push_back(command.id);
-  return Disposition::kStays;
+  return Disposition::kPending;
 }
 
 CommandQueue::Disposition CommandQueue::AddPrunes(Change* change, const TableOverlay& overlay,
@@ -99,14 +99,14 @@
   bool any = false;
   for (const Item& tombstone : command.prunes) {
     const Record* standing = overlay.Find(tombstone.key);
-    bool stands = standing && standing->item.dropped && standing->item.version == tombstone.version &&
-                  overlay.written().count(tombstone.key) == 0;
-    if (stands) change->pruned.push_back(tombstone.key);
-    any = any || stands;
+    bool removable = standing && standing->item.dropped && standing->item.version == tombstone.version &&
+                     overlay.written().count(tombstone.key) == 0;
+    if (removable) change->pruned.push_back(tombstone.key);
+    any = any || removable;
   }
   if (!any) return Disposition::kEnded;
   change->commands.push_back(command.id);
-  return Disposition::kStays;
+  return Disposition::kPending;
 }
 
 CommandQueue::Disposition CommandQueue::AddItems(NextChange* next, TableOverlay* overlay,
@@ -118,10 +118,10 @@
   }
   if (evaluation.kind == Evaluation::Kind::kRejected) {
     next->to_confirm.push_back(command.id);
-    return Disposition::kStays;
+    return Disposition::kPending;
   }
-  bool stands_already = evaluation.kind == Evaluation::Kind::kAlreadyApplied && overlay->written().empty();
-  if (stands_already) {
+  bool already_applied = evaluation.kind == Evaluation::Kind::kAlreadyApplied && overlay->written().empty();
+  if (already_applied) {
     End(command, Outcome::kDone, {}, &next->completions);
     return Disposition::kEnded;
   }
@@ -130,7 +130,7 @@
     std::erase(next->change->pruned, record.item.key);
   }
   next->change->commands.push_back(command.id);
-  return Disposition::kStays;
+  return Disposition::kPending;
 }
 
 void CommandQueue::BeginConfirmation(const CommandId& command, ReadId read) {
@@ -169,7 +169,7 @@
     if (decided) End(command, Outcome::kDone, {}, &completions);
     return decided;
   });
-  NoneMaybeDecided();
+  ClearMaybeDecided();
   return completions;
 }
 
@@ -184,11 +184,11 @@
     End(command, done ? Outcome::kDone : Outcome::kMaybeDone, {}, &completions);
     return true;
   });
-  NoneMaybeDecided();
+  ClearMaybeDecided();
   return completions;
 }
 
-void CommandQueue::NoneMaybeDecided() {
+void CommandQueue::ClearMaybeDecided() {
   for (Command& command : commands_) command.maybe_decided = false;
 }
 
--- a/system/decisions/replication/command_queue.h
+++ b/system/decisions/replication/command_queue.h
@@ -1,7 +1,8 @@
-// The commands that wait at one core to become part of a change: writes of callers, prunings and changes of
-// members. Builds the next change out of them and tells how each one ends.
+// The pending commands of one core: writes of callers, removals of tombstones and membership changes. Builds
+// the next change from them and reports the outcome of each.
 //
-// Pure; one thread. A command ends exactly once, by a Completion that one of these calls returns.
+// Each command with a ticket ends exactly once, by a Completion that one of these calls returns. No I/O; not
+// thread-safe.
 #ifndef IVYGW_SYSTEM_REPLICATION_COMMAND_QUEUE_H_
 #define IVYGW_SYSTEM_REPLICATION_COMMAND_QUEUE_H_
 
@@ -20,7 +21,7 @@
 
 class CommandQueue {
  public:
-  // `incarnation` of this process makes the ids of its commands unique. `policy` outlives this.
+  // `incarnation`, that of this process, makes the command IDs unique. `policy` must outlive the queue.
   CommandQueue(uint64_t incarnation, const CommandPolicy* policy)
       : incarnation_(incarnation), policy_(*policy) {}
 
@@ -29,67 +30,70 @@
   void AddMembershipChange(Membership next, TimePoint deadline);
 
   bool empty() const { return commands_.empty(); }
-  // Whether a command waits for nothing but a proposal.
+  // Whether any command is ready to be proposed, that is, not waiting for a confirming read.
   bool AnyToPropose() const;
   bool HasMembershipChange() const;
 
   struct NextChange {
-    std::optional<Change> change;         // none: the commands that wait change nothing
-    std::vector<Completion> completions;  // of commands that needed no change
-    // Commands that the policy rejects. Each stays until a read has confirmed that nothing newer stands:
-    // BeginConfirmation and OnConfirmingReadEnded.
+    std::optional<Change> change;         // none if no pending command changes the table
+    std::vector<Completion> completions;  // of commands that ended without a change
+    // Commands that the policy rejects. The table may be outdated, so each stays pending until a linearizable
+    // read has confirmed the rejection; see BeginConfirmation and OnConfirmingReadEnded.
     std::vector<CommandId> to_confirm;
   };
-  // The change that the waiting commands make on top of `table`, which stands at `revision` of `epoch`.
+  // Builds the next change from the pending commands. `table` is at `revision` of `epoch`.
   NextChange BuildChange(const Table& table, uint64_t revision, uint64_t epoch);
-  // The rejection of this command is confirmed by that read.
+  // The rejection of this command awaits the result of that read.
   void BeginConfirmation(const CommandId& command, ReadId read);
   enum class Confirmation {
-    kNone,      // no command waits for that read, or the read was not done: the command is proposed later
-    kPropose,   // something newer stands, on top of which the command isn't rejected any more
-    kRejected,  // the command has ended with `completion`
+    kNone,      // no command awaits that read, or the read failed: the command is retried later
+    kPropose,   // the command is no longer rejected by the newer table
+    kRejected,  // the command has ended; `completion` is set
   };
   Confirmation OnConfirmingReadEnded(ReadId read, bool done, const Table& table, Completion* completion);
 
-  // The change is proposed from now on: its commands may be decided by whoever finds it accepted.
+  // The change has been proposed. From now on, any proposer that finds it accepted may get it decided.
   void OnProposed(const Change& change);
-  // The change has been decided and applied: commands that were proposed for its revision and are not part
-  // of it were not done.
+  // The change has been decided and applied. Completes its commands. Others that were proposed for the same
+  // revision were not done.
   std::vector<Completion> OnDecided(const Change& change);
-  // This copy has caught up past the revision of a proposal: the table tells which commands are done.
+  // This copy has caught up past the revision of a proposal. Completes the commands that the table shows as
+  // done.
   std::vector<Completion> OnCaughtUp(const Table& table);
-  // Ends what is past its deadline.
+  // Ends the commands whose deadline has passed.
   std::vector<Completion> Expire(TimePoint now);
 
  private:
   struct Command {
     CommandId id;
-    uint64_t ticket = 0;  // 0: nobody waits (prunings, changes of members)
+    uint64_t ticket = 0;  // 0: no caller awaits a completion (tombstone removals, membership changes)
     std::vector<Item> items;
     std::vector<Item> prunes;
     std::optional<Membership> membership;
     TimePoint deadline;
     bool maybe_decided = false;  // part of a proposal that may still be decided
-    ReadId confirming_read = 0;  // 0: none
+    ReadId confirming_read = 0;  // 0: not awaiting a read
   };
-  enum class Disposition { kStays, kEnded };
+  // What BuildChange does with a command. A command that is part of the change, or is left for a later one,
+  // stays pending.
+  enum class Disposition { kPending, kEnded };
 
   Command& Add(TimePoint deadline);
   Disposition AddTo(NextChange* next, TableOverlay* overlay, uint64_t epoch, Command* command) const;
   Disposition AddMembership(Change* change, uint64_t epoch, const Command& command) const;
   Disposition AddPrunes(Change* change, const TableOverlay& overlay, const Command& command) const;
   Disposition AddItems(NextChange* next, TableOverlay* overlay, const Command& command) const;
-  void NoneMaybeDecided();
-  // Nobody is told of the end of a command without a ticket.
+  void ClearMaybeDecided();
+  // Appends the completion of the command, unless it has no ticket.
   static void End(const Command& command, Outcome outcome, Rejection rejection, std::vector<Completion>* out);
 
   const uint64_t incarnation_;
   const CommandPolicy& policy_;
   uint64_t last_command_ = 0;
-  std::deque<Command> commands_;  // in the order in which they came
+  std::deque<Command> commands_;  // in order of arrival
 };
 
-// What the items of a command, or of a change, take in a message, about.
+// The approximate size of the items in a message.
 size_t BytesOf(const std::vector<Item>& items);
 size_t BytesOf(const Change& change);
 
--- a/system/decisions/replication/durable_state.h
+++ b/system/decisions/replication/durable_state.h
@@ -1,5 +1,5 @@
-// What a core keeps on disk of one replicated table, as values: what is loaded at the start and what is
-// stored in batches.
+// The durable state of one replicated table, as plain structs: what is loaded at startup and what is stored
+// in batches.
 #ifndef IVYGW_SYSTEM_REPLICATION_DURABLE_STATE_H_
 #define IVYGW_SYSTEM_REPLICATION_DURABLE_STATE_H_
 
@@ -23,37 +23,37 @@
 using messages::ProposalNumber;
 using messages::Record;
 
-// The store id of the members of the first epoch, on the disks that the first start of a system creates.
+// The store ID that the members of the first epoch use when a system starts for the first time.
 inline constexpr uint64_t kFounderStoreId = 1;
 
-// The small part of the state, always stored whole.
+// The small part of the state, stored in full with each batch.
 struct DurableState {
   uint64_t store_id = 0;
   Membership membership;
-  uint64_t revision = 0;  // of the last change applied; the records are exactly those of this revision
+  uint64_t revision = 0;  // of the last change applied; the stored records are exactly those of this revision
   ProposalNumber promised;
 };
 
-// All that a disk held at the start. It is durable: opening the store makes so what a killed process had
-// written unsynced.
+// The state loaded at startup. All of it is durable: opening the store syncs what a killed process had
+// written without a sync.
 struct LoadedState {
   DurableState state;
   std::optional<AcceptedChange> accepted;
   std::vector<Record> records;
 };
 
-// Written atomically, in the order in which batches are given; a later batch is never on disk without all
-// earlier ones. OnStored follows for each, once it and all before it would survive a loss of power (`sync`),
-// or have been written.
+// A batch is written atomically. Batches are written in order: a batch is never on disk without all earlier
+// ones. Replica::OnStored follows for each batch, once it and all earlier ones are written and, if `sync` is
+// set, would survive a loss of power.
 struct StoreBatch {
   uint64_t number = 0;
   bool sync = false;
-  bool replace_all = false;  // the records replace all that were there
+  bool replace_all = false;  // `records` replace all stored records
   std::vector<Record> records;
   std::vector<std::string> erased;
   DurableState state;
   bool accepted_changed = false;
-  std::optional<AcceptedChange> accepted;  // where accepted_changed: what stands now
+  std::optional<AcceptedChange> accepted;  // the new value, if accepted_changed
 };
 
 }  // namespace ivygw::replication
--- a/system/decisions/replication/effects.h
+++ b/system/decisions/replication/effects.h
@@ -1,5 +1,5 @@
-// What one call of Replica brings about. The caller performs the effects in the order of the fields, after
-// the call has returned.
+// The effects of one call of Replica. The caller carries them out after the call has returned, in the order
+// of the fields.
 #ifndef IVYGW_SYSTEM_REPLICATION_EFFECTS_H_
 #define IVYGW_SYSTEM_REPLICATION_EFFECTS_H_
 
@@ -13,14 +13,15 @@
 
 namespace ivygw::replication {
 
-// How a command or a read has ended.
+// The outcome of a command or a read.
 enum class Outcome {
-  // A command: decided, or its content stood already. A read: this copy holds all that was decided before
-  // the call.
+  // A command: it was decided, or had been applied before. A read: this copy holds everything that was
+  // decided
+  // before the call.
   kDone,
-  kRejected,   // in force nowhere, and never will be; see Completion::rejection
-  kNotDone,    // no part of it was ever proposed, or its revision was decided otherwise
-  kMaybeDone,  // may have been done
+  kRejected,   // not applied anywhere and never will be; see Completion::rejection
+  kNotDone,    // never proposed, or another change was decided for its revision
+  kMaybeDone,  // unknown: may have been done or may still be
 };
 
 struct Completion {
@@ -31,10 +32,10 @@
 
 struct Effects {
   std::vector<std::pair<std::string, PeerMessage>> sends;  // to the core at that address
-  std::vector<StoreBatch> stores;                          // in order; each is answered by OnStored
-  std::vector<Completion> completions;                     // each ticket once
-  std::vector<std::string> changed;  // keys of which this copy holds another record, or none, now
-  bool reset = false;                // all records were replaced; `changed` names those that there are now
+  std::vector<StoreBatch> stores;                          // in order; OnStored is to follow for each
+  std::vector<Completion> completions;                     // at most one per ticket
+  std::vector<std::string> changed;  // keys whose records in this copy were written or removed
+  bool reset = false;                // all records were replaced; `changed` has the keys of the new ones
   bool membership_changed = false;
 };
 
--- a/system/decisions/replication/failure_detector.cpp
+++ b/system/decisions/replication/failure_detector.cpp
@@ -7,14 +7,14 @@
 namespace ivygw::replication {
 namespace {
 
-constexpr Duration kHeartbeatsRemembered{5};  // an answer to an older one counts for nothing
+constexpr Duration kHeartbeatRetention{5};  // replies to older heartbeats are ignored
 
 }  // namespace
 
 messages::Heartbeat FailureDetector::BeginHeartbeat(TimePoint now) {
   heartbeat_due_ = now + kHeartbeatInterval;
   sent_at_[++last_heartbeat_] = now;
-  while (!sent_at_.empty() && sent_at_.begin()->second < now - kHeartbeatsRemembered) {
+  while (!sent_at_.empty() && sent_at_.begin()->second < now - kHeartbeatRetention) {
     sent_at_.erase(sent_at_.begin());
   }
   return {last_heartbeat_};
--- a/system/decisions/replication/failure_detector.h
+++ b/system/decisions/replication/failure_detector.h
@@ -1,6 +1,6 @@
-// Which members answer heartbeats, and whether a majority does. A member counts by the time at which the last
-// heartbeat that it answered was SENT, so that a late answer proves nothing about the present. Pure; one
-// thread.
+// Failure detection by heartbeats. A member is alive as long as the last heartbeat that it has answered was
+// SENT recently; the time of the reply doesn't count, so a delayed reply can't make a dead member look alive.
+// No I/O; not thread-safe.
 #ifndef IVYGW_SYSTEM_REPLICATION_FAILURE_DETECTOR_H_
 #define IVYGW_SYSTEM_REPLICATION_FAILURE_DETECTOR_H_
 
@@ -16,36 +16,37 @@
 
 class FailureDetector {
  public:
-  // The next heartbeat is due at once.
+  // Makes the next heartbeat due immediately.
   void MakeHeartbeatDue(TimePoint now) { heartbeat_due_ = now; }
   bool HeartbeatDue(TimePoint now) const { return now >= heartbeat_due_; }
-  // The heartbeat to send to every peer. REQUIRES: HeartbeatDue(now).
+  // Returns the heartbeat to send to every peer. REQUIRES: HeartbeatDue(now).
   messages::Heartbeat BeginHeartbeat(TimePoint now);
-  // `from` is the address of a voting member.
+  // `from` must be the address of a voting member.
   void OnHeartbeatReply(const std::string& from, const messages::HeartbeatReply& reply);
 
-  // When the last heartbeat that the core at this address has answered was sent.
+  // The send time of the last heartbeat that the core at this address has answered.
   std::optional<TimePoint> last_contact(const std::string& address) const;
   bool IsAlive(TimePoint now, const std::string& address) const;
-  // How many of `membership` are alive, each with the store of its member. `self` is one of them if it is a
+  // The number of members that are alive and run the store of the membership. This core counts if it is a
   // member.
   size_t MembersAlive(TimePoint now, const Membership& membership, const std::string& self_address,
                       uint64_t self_store_id, const PeerTable& peers) const;
-  // Whether these are a majority.
+  // Whether a majority of the members is alive.
   bool QuorumIsAlive(TimePoint now, const Membership& membership, const std::string& self_address,
                      uint64_t self_store_id, const PeerTable& peers) const;
 
  private:
   uint64_t last_heartbeat_ = 0;
   TimePoint heartbeat_due_;
-  std::map<uint64_t, TimePoint> sent_at_;  // by heartbeat
+  std::map<uint64_t, TimePoint> sent_at_;  // by heartbeat number
   std::map<std::string, TimePoint> last_contact_;
 };
 
-// For how long a core has had quorum contact, and whether it has caught up since: only then does it serve.
+// Since when a core has been in contact with a quorum, and whether its copy has caught up since then. It
+// serves calls only after that.
 class QuorumContact {
  public:
-  // A majority is alive.
+  // A majority of the members is alive.
   void OnQuorum(TimePoint now) {
     if (!since_) since_ = now;
   }
@@ -53,8 +54,8 @@
     since_.reset();
     caught_up_ = false;
   }
-  // The read that was started when contact began has ended; `done`: this copy, at `revision`, holds all that
-  // was decided before.
+  // The read that was started when contact began has ended. `done`: this copy, at `revision`, holds
+  // everything decided before the read.
   void OnInitialReadEnded(bool done, uint64_t revision) {
     caught_up_ = done && since_.has_value();
     caught_up_revision_ = revision;
--- a/system/decisions/replication/membership_manager.cpp
+++ b/system/decisions/replication/membership_manager.cpp
@@ -7,8 +7,8 @@
 namespace ivygw::replication {
 namespace {
 
-// Of the learners that could be a member, the one whose zone holds fewest of the members that stay; then by
-// address.
+// Returns the caught-up candidate whose zone has the fewest remaining members, or null. Ties are broken by
+// order, that is, by address.
 const Candidate* BestCandidate(const std::vector<Candidate>& candidates, const std::vector<Member>& staying) {
   auto in_zone = [&](const std::string& zone) {
     return std::count_if(staying.begin(), staying.end(),
@@ -40,7 +40,7 @@
   return staying;
 }
 
-// A machine that is back without its disk takes its own place.
+// A machine that has returned with an empty disk replaces its former self.
 std::optional<Membership> ReplaceWipedMember(uint64_t epoch, const std::vector<MemberView>& members,
                                              const std::vector<Candidate>& candidates) {
   for (size_t i = 0; i < members.size(); ++i) {
@@ -73,7 +73,7 @@
                                          const std::vector<Candidate>& candidates, size_t voters) {
   if (auto next = ReplaceWipedMember(epoch, members, candidates)) return next;
   if (auto next = ReplaceFailedMember(epoch, members, candidates)) return next;
-  // A core of one is meant to be one: two would be stopped by the loss of either.
+  // A single member stays single: with two members the loss of either would stop the system.
   if (members.size() < 2 || members.size() >= voters) return std::nullopt;
   std::vector<Member> next = Without(members, members.size());
   const Candidate* added = BestCandidate(candidates, next);
@@ -102,12 +102,12 @@
   return next;
 }
 
-// The revision at which this copy stood kJoinLag ago: a learner's disk reaches it under any load, unless it
-// hangs.
+// The revision that a learner's disk must hold to join: that of this copy kJoinLag ago, which a learner
+// reaches under any load unless its disk hangs.
 uint64_t MembershipManager::JoinRevision(TimePoint now, const View& view) {
   revisions_.push_back({now, view.revision});
   while (revisions_.size() > 1 && revisions_[1].first <= now - kJoinLag) revisions_.pop_front();
-  // Before it had caught up this copy itself was behind.
+  // Revisions from before this copy had caught up are too old.
   return std::max(revisions_.front().second, view.contact.caught_up_revision());
 }
 
@@ -115,7 +115,7 @@
                                                        uint64_t join_revision) const {
   std::vector<MemberView> members;
   for (const Member& member : view.membership.members) {
-    // One that hasn't answered since this core came into contact has been silent since then.
+    // A member that has not answered since this core regained contact counts as silent from then on.
     TimePoint contact_since = view.contact.since().value_or(now);
     TimePoint contact = view.detector.last_contact(member.address).value_or(contact_since);
     bool self = IsSelf(member, view.store_id);
--- a/system/decisions/replication/membership_manager.h
+++ b/system/decisions/replication/membership_manager.h
@@ -1,8 +1,8 @@
-// Changes of the members (the voting cores): which one is due, by what one core has seen of the others, and
-// which member proposes it when. One member is replaced or added at a time, as in Raft's single-server
-// changes (Ongaro's thesis, section 4.1).
+// Membership changes: which change of the voting cores is due, judging by the peers that this core sees, and
+// when this core proposes it. One member is replaced or added at a time, as in Raft's single-server changes
+// (Ongaro's thesis, section 4.1).
 //
-// Pure; one thread.
+// No I/O; not thread-safe.
 #ifndef IVYGW_SYSTEM_REPLICATION_MEMBERSHIP_MANAGER_H_
 #define IVYGW_SYSTEM_REPLICATION_MEMBERSHIP_MANAGER_H_
 
@@ -21,24 +21,24 @@
 
 namespace ivygw::replication {
 
-// A core that doesn't vote and could.
+// A learner that could become a member.
 struct Candidate {
   Member member;
-  bool caught_up = false;  // its disk holds all that is decided
+  bool caught_up = false;  // its disk holds everything decided
 };
 
+// A member as this core sees it.
 struct MemberView {
   Member member;
-  Duration silent_for{0};  // since the last heartbeat that it has answered; 0 for oneself
+  Duration silent_for{0};  // since the last heartbeat that it has answered; 0 for this core
 };
 
 inline constexpr size_t kMinVoters = 3;
-// How many members there should be, so that a majority is left where so many of them lose their disks at
-// once.
+// The number of members needed so that a majority survives when `failures` of them lose their disks at once.
 constexpr size_t VotersToTolerate(size_t failures) { return std::max(kMinVoters, 2 * failures + 1); }
 
-// The next membership, one member replaced or added; none where nothing is due. `voters`: how many members
-// there should be.
+// Returns the next membership, with one member replaced or added, or nullopt if no change is due. `voters` is
+// the intended number of members.
 std::optional<Membership> NextMembership(uint64_t epoch, const std::vector<MemberView>& members,
                                          const std::vector<Candidate>& candidates, size_t voters);
 
@@ -46,27 +46,27 @@
  public:
   MembershipManager(std::string address, size_t voters) : address_(std::move(address)), voters_(voters) {}
 
-  // What a check goes by. All references outlive the call.
+  // The input of a check. All references must outlive the call.
   struct View {
     const Membership& membership;
-    uint64_t revision;  // the last one applied here
+    uint64_t revision;  // the last one applied by this core
     uint64_t store_id;
     const PeerTable& peers;
     const FailureDetector& detector;
     const QuorumContact& contact;
   };
 
-  // This core doesn't serve, or isn't a member: the revisions that it has stood at count no longer.
+  // This core doesn't serve or isn't a member: discards its recorded revisions, which may be outdated.
   void OnNotServing() { revisions_.clear(); }
   bool CheckDue(TimePoint now) const { return now >= check_due_; }
-  // The membership that this core is to propose now. REQUIRES: CheckDue(now), this core serves and is a
-  // member. `change_pending`: a change that it has proposed before has not ended.
+  // Returns the membership that this core should propose now, if any. `change_pending`: a membership change
+  // of this core has not ended yet. REQUIRES: CheckDue(now), and this core serves and is a member.
   std::optional<Membership> Check(TimePoint now, const View& view, bool change_pending);
 
-  // A change of members is proposed for `revision`.
+  // A membership change has been proposed for `revision`.
   void OnProposed(TimePoint now, uint64_t revision);
-  // Whether the change may be decided without this joining member. One that is silent, or whose disk hangs,
-  // doesn't stop the members.
+  // Whether the change may be decided although this joining member has not accepted it: a silent member, or
+  // one whose disk hangs, must not block the others.
   bool MayDecideWithout(TimePoint now, const Member& joining, const PeerTable& peers) const;
 
  private:
@@ -79,9 +79,9 @@
   const std::string address_;
   const size_t voters_;
   TimePoint check_due_;
-  std::optional<TimePoint> due_since_;                    // since when a change has been due
-  std::deque<std::pair<TimePoint, uint64_t>> revisions_;  // at which this copy stood lately
-  uint64_t proposed_revision_ = 0;                        // of the change proposed last
+  std::optional<TimePoint> due_since_;                    // when the current change became due
+  std::deque<std::pair<TimePoint, uint64_t>> revisions_;  // recent revisions of this copy, with times
+  uint64_t proposed_revision_ = 0;                        // of the last proposed membership change
   TimePoint proposed_at_;
 };
 
--- a/system/decisions/replication/peer_table.h
+++ b/system/decisions/replication/peer_table.h
@@ -1,5 +1,5 @@
-// What one core knows of the others: connections, and the header of the last message of each. Pure; one
-// thread.
+// The state of all peers as one core sees it: whether each is connected, and the header of its last message.
+// No I/O; not thread-safe.
 #ifndef IVYGW_SYSTEM_REPLICATION_PEER_TABLE_H_
 #define IVYGW_SYSTEM_REPLICATION_PEER_TABLE_H_
 
@@ -16,14 +16,14 @@
   bool connected = false;  // messages can be sent to it
   PeerHeader header;       // of its last message
   std::optional<TimePoint> last_message;
-  std::optional<TimePoint> ahead_since;  // since when its revision has been above this copy's
+  std::optional<TimePoint> ahead_since;  // when its revision first exceeded this copy's
 };
 
 class PeerTable {
  public:
   void SetConnected(const std::string& address, bool connected) { peers_[address].connected = connected; }
 
-  // `revision`: the last one applied here.
+  // `revision` is the last one applied by this core.
   void OnMessage(TimePoint now, const std::string& from, const PeerHeader& header, uint64_t revision) {
     Peer& peer = peers_[from];
     peer.header = header;
@@ -40,12 +40,12 @@
     }
   }
 
-  // Null where nothing is known of that address.
+  // Returns null if the address is unknown.
   const Peer* Find(const std::string& address) const {
     auto it = peers_.find(address);
     return it == peers_.end() ? nullptr : &it->second;
   }
-  // Whether the core at the member's address has shown that it runs the member's store.
+  // Whether the last message from the member's address came from the member's store.
   bool RunsStoreOf(const Member& member) const {
     const Peer* peer = Find(member.address);
     return peer && peer->header.store_id == member.store_id;
--- a/system/decisions/replication/proposer.cpp
+++ b/system/decisions/replication/proposer.cpp
@@ -36,7 +36,7 @@
   prepared_ = false;
   proposal_ = Proposal();
   proposal_.phase = Phase::kPreparing;
-  // A proposer that others got ahead of takes a larger step, so that it wins next time.
+  // After abandoned proposals the counter takes a larger step, to exceed the numbers of competing proposers.
   highest_counter_ += 1 + abandoned_;
   proposal_.number = {highest_counter_, incarnation_};
   proposal_.revision = revision;
--- a/system/decisions/replication/read_index.cpp
+++ b/system/decisions/replication/read_index.cpp
@@ -8,7 +8,7 @@
 
 messages::ReadQuery ReadIndex::BeginRound(TimePoint now) {
   uint64_t number = round_.number + 1;
-  // Reads of a round that did not close go on with this one.
+  // Reads of a round that did not complete move on to this one.
   for (auto& [id, read] : reads_) {
     bool waits = !read.index && (read.round == 0 || read.round == round_.number);
     if (waits) read.round = number;
@@ -56,7 +56,8 @@
 
 void ReadIndex::OnNothingUndecided(uint64_t revision, TimePoint prepared_at) {
   for (auto& [id, read] : reads_) {
-    // Promises prove only that nothing was decided before the first of them was given.
+    // The promises prove only that nothing was decided before the first of them was given, so phase 1 must
+    // have begun after the index was known.
     bool promised_since = prepared_at >= read.index_known_at;
     if (WaitsForUndecided(read, revision) && promised_since) read.index = revision;
   }
--- a/system/decisions/replication/replica.cpp
+++ b/system/decisions/replication/replica.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr size_t kDeltaBytes = size_t{256} * 1024;  // of one part
+constexpr size_t kDeltaBytes = size_t{256} * 1024;  // approximate size of one part
 
 }  // namespace
 
@@ -92,7 +92,7 @@
   after_store_.erase(it);
   if (after.durable_revision) durable_revision_ = std::max(durable_revision_, *after.durable_revision);
   for (auto& [to, body] : after.sends) Send(to, std::move(body), out);
-  // Members look for learners that hold everything.
+  // A heartbeat reports the durable revision to the members, which wait for caught-up learners.
   if (after.durable_revision && !IsMember()) detector_.MakeHeartbeatDue(now);
   DeliverToSelf(now, out);
   HeartbeatOnTime(now, out);
@@ -107,7 +107,7 @@
     if (catch_up_.sender() == address) catch_up_.OnSenderLost();
     return;
   }
-  // What was under way to it may have been lost with the connection before.
+  // Messages sent on the previous connection may have been lost.
   detector_.MakeHeartbeatDue(now);
   bool is_acceptor =
       proposer_.phase() == Proposer::Phase::kAccepting && AcceptorsOf(proposer_.change()).count(address) > 0;
@@ -120,12 +120,12 @@
 
 void Replica::OnMessage(TimePoint now, const std::string& from, const PeerMessage& message, Effects* out) {
   peers_.OnMessage(now, from, message.header, revision_);
-  if (PassesEpoch(now, from, message, out)) Dispatch(now, from, message, out);
+  if (CheckEpoch(now, from, message, out)) Dispatch(now, from, message, out);
   DeliverToSelf(now, out);
 }
 
-// Whether a message may count: it is of this epoch, or of a kind that holds in any.
-bool Replica::PassesEpoch(TimePoint now, const std::string& from, const PeerMessage& message, Effects* out) {
+// Returns whether to process the message: it is of this epoch, or of a type that is valid in any epoch.
+bool Replica::CheckEpoch(TimePoint now, const std::string& from, const PeerMessage& message, Effects* out) {
   const PeerBody& body = message.body;
   bool any_epoch =
       std::holds_alternative<messages::DeltaRequest>(body) || std::holds_alternative<messages::Delta>(body) ||
@@ -183,8 +183,8 @@
   revision_ = change.revision;
   acceptor_.OnApplied();
   if (change.membership) BeginEpoch(*change.membership, out);
-  // Members have the change on disk as accepted; a core that learns of it only now tells the members when it
-  // holds it.
+  // Members have the change on disk as accepted, so no sync is needed. A learner syncs it, to report it to
+  // the members as durable.
   bool sync = !IsMember();
   AfterStore after;
   if (sync) after.durable_revision = revision_;
@@ -193,7 +193,7 @@
   AfterAdvance(now, out);
 }
 
-// Promises and answers of the members before count no longer.
+// Promises and replies of the previous members are void.
 void Replica::BeginEpoch(const Membership& membership, Effects* out) {
   membership_ = membership;
   out->membership_changed = true;
@@ -201,7 +201,7 @@
   reads_.CancelRound();
 }
 
-// This copy stands at a later revision.
+// Called after this copy has reached a later revision.
 void Replica::AfterAdvance(TimePoint now, Effects* out) {
   proposer_.OnAdvanced(revision_);
   peers_.OnAdvanced(revision_);
@@ -221,15 +221,15 @@
   return detector_.QuorumIsAlive(now, membership_, options_.address, store_id_, peers_);
 }
 
-// While a change has stood accepted and nobody could find out whether it is decided, nothing proves that this
-// copy is complete.
+// An accepted change that has stayed undecided for long may have been decided elsewhere, so this copy may be
+// outdated.
 bool Replica::HasQuorumContact(TimePoint now) const {
   std::optional<TimePoint> undecided_since = acceptor_.undecided_since();
   bool undecided = undecided_since && now > *undecided_since + kContactTimeout;
   return contact_.caught_up() && !undecided && QuorumIsAlive(now);
 }
 
-// A core that is in contact again first learns what it has missed, then serves.
+// A core that regains contact first catches up, by a linearizable read, and serves calls after that.
 void Replica::ContactOnTime(TimePoint now, Effects* out) {
   if (!QuorumIsAlive(now)) {
     contact_.OnQuorumLost();
--- a/system/decisions/replication/replica.h
+++ b/system/decisions/replication/replica.h
@@ -1,23 +1,25 @@
-// One core's copy of a replicated table, and its part in agreeing on changes of it.
+// One core's replica of a table: its copy of the records and its part in the agreement on changes.
 //
-// Every revision of the table is one instance of Paxos; the members (voting cores) of an epoch decide what it
-// holds, without a log and without a leader (compare CASPaxos, Rystsov 2018). See
-// docs/design/control-state.md. The roles are classes of their own, each with its own state:
+// Each revision of the table is one instance of Paxos, decided by the members (voting cores) of the current
+// epoch, without a log and without a leader (compare CASPaxos, Rystsov 2018). See
+// docs/design/control-state.md. Each role is a class with its own state:
 //
-//   Acceptor           what this core has promised and accepted
-//   Proposer           the proposal that this core makes, and its pauses
-//   CommandQueue       commands of callers that wait to be proposed
-//   ReadIndex          which revision a linearizable read has to wait for
-//   FailureDetector,   which members answer heartbeats, and whether this core may serve
+//   Acceptor           the promised number and the accepted change
+//   Proposer           the current proposal of this core, and its pauses
+//   CommandQueue       pending commands
+//   ReadIndex          the revision that a linearizable read must wait for
+//   FailureDetector,   which members are alive, and whether this core may serve
 //   QuorumContact
-//   MembershipManager  which change of the members is due
-//   CatchUp            what this copy has missed
+//   MembershipManager  which membership change is due
+//   CatchUp            the changes that this copy has missed
 //
-// This class passes messages and time to them, applies decided changes to the table, and is the only one that
-// sends and stores. Nothing that depends on a store leaves before that store is durable.
+// Replica passes messages and time to them, applies decided changes to the table, and is the only class that
+// sends messages and stores batches. A message that depends on a batch is sent only once that batch is
+// durable.
 //
-// Pure: events in, effects out; no I/O and no clock. One thread. Messages to one peer are delivered in order
-// while a connection stands, and may be lost with it; they never survive a restart of either side.
+// Deterministic: takes events and returns effects; no I/O and no clock. Not thread-safe. Messages to a peer
+// must be delivered in order while a connection lasts. They may be lost when it ends, and must never be
+// delivered after a restart of either side.
 #ifndef IVYGW_SYSTEM_REPLICATION_REPLICA_H_
 #define IVYGW_SYSTEM_REPLICATION_REPLICA_H_
 
@@ -46,60 +48,62 @@
 namespace ivygw::replication {
 
 struct ReplicaOptions {
-  std::string address;            // IP of this core
+  std::string address;            // IP address of this core
   std::string zone;               // its failure domain
-  uint64_t incarnation = 0;       // random, drawn at each start of the process
-  size_t voters = kMinVoters;     // how many members an epoch should have
-  Duration command_timeout{0.9};  // for a command or a read to end
+  uint64_t incarnation = 0;       // random ID of this run of the process
+  size_t voters = kMinVoters;     // the intended number of members
+  Duration command_timeout{0.9};  // time limit of a command or a read
 };
 
 class Replica {
  public:
-  // `loaded`: what the disk holds. `policy` outlives the replica; it has been told of no record yet, and is
-  // told of all of them here.
+  // `loaded` is the state on disk. `policy` must outlive the replica and know no records yet; the constructor
+  // passes all loaded records to it.
   Replica(ReplicaOptions options, LoadedState loaded, CommandPolicy* policy);
 
-  // A connection to a core has come up, or ended. Without one nothing can be sent there.
+  // A connection to a core was established or has ended. Messages can be sent only to connected cores.
   void OnConnection(TimePoint now, const std::string& address, bool connected, Effects* out);
   void OnMessage(TimePoint now, const std::string& from, const PeerMessage& message, Effects* out);
-  // A batch, and all before it, is on disk.
+  // The batch and all earlier ones have been stored.
   void OnStored(TimePoint now, uint64_t batch, Effects* out);
-  // To be called every 50 ms or oftener, and at WakeAt.
+  // To be called at least every 50 ms, and at the time that WakeAt returns.
   void OnTime(TimePoint now, Effects* out);
-  // When a proposal that pauses may begin; none where none does.
+  // When a delayed proposal may begin, or nullopt if no proposal is waiting.
   std::optional<TimePoint> WakeAt() const;
 
-  // A command to write these items, all or none. `ticket` (above 0) names the call in its Completion, which
-  // comes within `command_timeout`.
+  // Writes these items atomically. `ticket` must be greater than 0 and identifies the call in its Completion,
+  // which follows within `command_timeout`, plus some time for large items.
   void Write(TimePoint now, uint64_t ticket, std::vector<Item> items, Effects* out);
-  // Removes these tombstones from all copies, as far as they still stand at these versions. Best effort: no
-  // completion.
+  // Removes these tombstones from all copies, except those whose version has changed. Best effort: there is
+  // no completion.
   void Prune(TimePoint now, const std::vector<Item>& tombstones, Effects* out);
-  // Completes with kDone when this copy holds all that was decided before the call, with kNotDone at once
-  // where this core has no quorum contact.
+  // Completes with kDone once this copy holds everything decided before the call, or immediately with
+  // kNotDone if this core has no quorum contact.
   void Read(TimePoint now, uint64_t ticket, Effects* out);
 
-  // A majority of the members has answered within kContactTimeout, this copy has caught up since, and no
-  // change has stood here undecided for longer than that: calls may be taken.
+  // Whether this core may serve calls: a majority of the members has answered heartbeats within
+  // kContactTimeout, this copy has caught up since contact began, and no change has been undecided here for
+  // longer than kContactTimeout.
   bool HasQuorumContact(TimePoint now) const;
-  // This core votes.
+  // Whether this core is a voting member.
   bool IsMember() const { return membership_.Contains(options_.address, store_id_); }
   const Table& table() const { return table_; }
   const Membership& membership() const { return membership_; }
   uint64_t store_id() const { return store_id_; }
-  // Of the last change applied.
+  // The revision of the last change applied.
   uint64_t revision() const { return revision_; }
   bool CatchingUp() const { return catch_up_.Active(); }
-  // Members that answer heartbeats with the store of the epoch, this core included if it is one.
+  // The number of members that are alive and run the store of the membership, including this core if it is
+  // one.
   size_t MembersAlive(TimePoint now) const {
     return detector_.MembersAlive(now, membership_, options_.address, store_id_, peers_);
   }
-  // A change has been accepted here and is not known to be decided.
+  // Whether this core has accepted a change that is not known to be decided.
   bool HoldsUndecidedChange() const { return acceptor_.accepted().has_value(); }
-  // Proposals of this core in a row that came to nothing: many, beside a quorum that is alive, are members
-  // that don't come to a decision, or whose disks don't take what they are to promise.
+  // The number of proposals abandoned since the last decided one. A high number while a quorum is alive means
+  // that the members reach no decision, or that their disks can't store promises.
   uint64_t AbandonedProposals() const { return proposer_.abandoned(); }
-  // Addresses of cores that have sent something lately and don't vote.
+  // Addresses of non-voting cores that have recently sent a message.
   std::vector<std::string> Learners(TimePoint now) const;
 
  private:
@@ -111,7 +115,7 @@
     bool from_member;
     Effects* out;
   };
-  // What happens once a batch is durable.
+  // What to do once a batch is durable.
   struct AfterStore {
     std::vector<std::pair<std::string, messages::PeerBody>> sends;
     std::optional<uint64_t> durable_revision;
@@ -125,8 +129,8 @@
   void DeliverToSelf(TimePoint now, Effects* out);
   void Store(bool sync, StoreBatch batch, AfterStore after, Effects* out);
 
-  // Messages. Handlers are found by the type of the body.
-  bool PassesEpoch(TimePoint now, const std::string& from, const PeerMessage& message, Effects* out);
+  // Messages. Handle is overloaded by the type of the body.
+  bool CheckEpoch(TimePoint now, const std::string& from, const PeerMessage& message, Effects* out);
   void Dispatch(TimePoint now, const std::string& from, const PeerMessage& message, Effects* out);
   void Handle(const Incoming& in, const messages::Prepare& prepare);
   void Handle(const Incoming& in, const messages::Promise& promise);
@@ -172,7 +176,7 @@
   // Catching up (replica_catch_up.cpp).
   void RequestDelta(TimePoint now, const std::string& from, Effects* out);
   void ApplyCaughtUp(TimePoint now, Effects* out);
-  void AddRecords(const CatchUp& gathered, StoreBatch* batch, Effects* out);
+  void AddRecords(const CatchUp& completed, StoreBatch* batch, Effects* out);
   void CatchUpOnTime(TimePoint now, Effects* out);
 
   // Contact and members (replica.cpp).
@@ -186,7 +190,7 @@
   const uint64_t store_id_;
   Membership membership_;
   uint64_t revision_;          // of the last change applied
-  uint64_t durable_revision_;  // the highest that the disk holds
+  uint64_t durable_revision_;  // the highest revision that is durable on disk
   Table table_;
 
   PeerTable peers_;
@@ -203,8 +207,8 @@
   std::deque<messages::PeerBody> to_self_;
   std::map<uint64_t, AfterStore> after_store_;  // by batch
   uint64_t last_batch_ = 0;
-  uint64_t own_reads_ = 0;   // reads begun by this class
-  ReadId initial_read_ = 0;  // the one that began with quorum contact; 0: none
+  uint64_t own_reads_ = 0;   // number of reads that this class has begun itself
+  ReadId initial_read_ = 0;  // the read that was started when quorum contact began; 0: none
 };
 
 }  // namespace ivygw::replication
--- a/system/decisions/replication/replica_agreement.cpp
+++ b/system/decisions/replication/replica_agreement.cpp
@@ -1,5 +1,4 @@
-// Replica: how one change is decided for each revision. What this core answers as an acceptor, and what it
-// does as a proposer.
+// Replica: agreement on one change per revision, with this core as acceptor and as proposer.
 #include <algorithm>
 
 #include "replication/replica.h"
@@ -9,7 +8,7 @@
 
 // --- Acceptor ---
 
-// Two proposals at once would only stop each other.
+// Two concurrent proposals would block each other.
 void Replica::OnCompetitor(TimePoint now, const std::string& proposer) {
   if (proposer != options_.address) proposer_.OnCompetitor(now);
 }
@@ -26,7 +25,7 @@
   Store(true, {}, std::move(after), in.out);
 }
 
-// A core that a change of members brings in accepts that change, too.
+// A core that joins by a membership change accepts that change, too.
 bool Replica::MayAccept(const Change& change) const {
   return IsMember() || (change.membership && change.membership->Contains(options_.address, store_id_));
 }
@@ -57,9 +56,9 @@
 void Replica::Handle(const Incoming& in, const messages::Commit& commit) {
   if (commit.revision <= revision_) return;
   const std::optional<AcceptedChange>& accepted = acceptor_.accepted();
-  bool holds_it =
+  bool has_change =
       accepted && accepted->change.revision == commit.revision && accepted->number == commit.number;
-  if (!holds_it) return RequestDelta(in.now, in.from, in.out);
+  if (!has_change) return RequestDelta(in.now, in.from, in.out);
   Change change = accepted->change;
   Apply(in.now, change, in.out);
 }
@@ -86,7 +85,7 @@
 void Replica::Propose(TimePoint now, Effects* out) {
   bool recovers = proposer_.recovery_requested();
   bool due = recovers || commands_.AnyToPropose();
-  // To finish what others left is part of catching up, and comes before commands are taken.
+  // Recovery of undecided changes is part of catching up, so it needs only a quorum that is alive.
   bool allowed = recovers ? QuorumIsAlive(now) : HasQuorumContact(now);
   if (!due || !allowed || !proposer_.MayBegin(now)) return;
   if (!proposer_.MustPrepare()) return ProposeNextChange(now, out);
@@ -96,7 +95,7 @@
 void Replica::ProposeNextChange(TimePoint now, Effects* out) {
   CommandQueue::NextChange next = commands_.BuildChange(table_, revision_, membership_.epoch);
   Complete(std::move(next.completions), out);
-  // A rejection is told only once a majority confirms that nothing newer stands.
+  // A rejection is reported only after a read has confirmed that this copy is up to date.
   for (const CommandId& rejected : next.to_confirm) {
     ReadId read = NextOwnReadId();
     commands_.BeginConfirmation(rejected, read);
@@ -107,7 +106,7 @@
 
 void Replica::Handle(const Incoming& in, const messages::Promise& promise) {
   if (!in.from_member || !proposer_.OnPromise(in.from, promise, membership_.Quorum())) return;
-  // What may have been decided is proposed again; everything else waits for it.
+  // A change that may have been decided must be proposed again before any other.
   if (std::optional<Change> adopted = proposer_.TakeAdopted())
     return BeginAccept(in.now, std::move(*adopted), in.out);
   reads_.OnNothingUndecided(revision_, proposer_.started());
@@ -146,7 +145,7 @@
   return static_cast<size_t>(count) >= membership.Quorum();
 }
 
-// A change of members needs a majority of both memberships, and the joining members themselves.
+// A membership change needs a majority of both memberships, and also the joining members.
 void Replica::DecideIfAccepted(TimePoint now, Effects* out) {
   if (!MajorityAccepted(membership_)) return;
   if (const std::optional<Membership>& next = proposer_.change().membership) {
@@ -170,9 +169,9 @@
 }
 
 void Replica::ProposalOnTime(TimePoint now, Effects* out) {
-  bool changes_members =
+  bool changes_membership =
       proposer_.phase() == Proposer::Phase::kAccepting && proposer_.change().membership.has_value();
-  if (changes_members) DecideIfAccepted(now, out);
+  if (changes_membership) DecideIfAccepted(now, out);
   proposer_.OnTime(now);
   acceptor_.OnTime(now);
   std::optional<TimePoint> undecided_since = acceptor_.undecided_since();
--- a/system/decisions/replication/replica_catch_up.cpp
+++ b/system/decisions/replication/replica_catch_up.cpp
@@ -1,4 +1,4 @@
-// Replica: how a copy that has missed changes gets them from the others.
+// Replica: catch-up of a copy that has missed changes.
 #include <algorithm>
 
 #include "replication/replica.h"
@@ -7,7 +7,7 @@
 namespace ivygw::replication {
 
 void Replica::RequestDelta(TimePoint now, const std::string& from, Effects* out) {
-  if (catch_up_.Waits(now, catch_up_timeout_) || from == options_.address) return;
+  if (catch_up_.AwaitsReply(now, catch_up_timeout_) || from == options_.address) return;
   Send(from, catch_up_.Request(now, from, revision_), out);
 }
 
@@ -22,27 +22,26 @@
   ApplyCaughtUp(in.now, in.out);
 }
 
-// Everything up to the sender's revision is here. It is applied at once, so that this copy is always exactly
-// one revision's.
+// Applies the complete delta in one step, so that this copy always corresponds to exactly one revision.
 void Replica::ApplyCaughtUp(TimePoint now, Effects* out) {
-  CatchUp gathered = std::move(catch_up_);
+  CatchUp completed = std::move(catch_up_);
   catch_up_ = CatchUp();
-  // Commits came meanwhile, and brought this copy as far; or there was nothing to learn.
-  bool newer_epoch = gathered.membership().epoch > membership_.epoch;
-  if (gathered.end() < revision_ || (gathered.end() == revision_ && !newer_epoch)) return;
+  // Nothing is new: this copy has reached that revision meanwhile, or was not behind.
+  bool newer_epoch = completed.membership().epoch > membership_.epoch;
+  if (completed.end() < revision_ || (completed.end() == revision_ && !newer_epoch)) return;
   StoreBatch batch;
-  batch.replace_all = gathered.reset();
+  batch.replace_all = completed.reset();
   batch.accepted_changed = acceptor_.accepted().has_value();
-  if (gathered.reset()) {
+  if (completed.reset()) {
     table_.Clear();
-    table_.ForgetPruned(gathered.end());
+    table_.ForgetPruned(completed.end());
     policy_->OnReset();
     out->reset = true;
   }
-  AddRecords(gathered, &batch, out);
-  revision_ = gathered.end();
+  AddRecords(completed, &batch, out);
+  revision_ = completed.end();
   acceptor_.OnApplied();
-  if (newer_epoch) BeginEpoch(gathered.membership(), out);
+  if (newer_epoch) BeginEpoch(completed.membership(), out);
   Complete(commands_.OnCaughtUp(table_), out);
   AfterStore after;
   after.durable_revision = revision_;
@@ -50,8 +49,8 @@
   AfterAdvance(now, out);
 }
 
-void Replica::AddRecords(const CatchUp& gathered, StoreBatch* batch, Effects* out) {
-  for (const auto& [key, record] : gathered.records()) {
+void Replica::AddRecords(const CatchUp& completed, StoreBatch* batch, Effects* out) {
+  for (const auto& [key, record] : completed.records()) {
     const Record* standing = table_.Find(key);
     if (standing && standing->revision >= record.revision) continue;
     table_.Put(record);
@@ -59,9 +58,9 @@
     batch->records.push_back(record);
     out->changed.push_back(key);
   }
-  for (const auto& [key, revision] : gathered.pruned()) {
+  for (const auto& [key, revision] : completed.pruned()) {
     const Record* standing = table_.Find(key);
-    if (gathered.reset() || (standing && standing->revision > revision)) continue;
+    if (completed.reset() || (standing && standing->revision > revision)) continue;
     table_.Erase(key, revision);
     policy_->OnErased(key);
     batch->erased.push_back(key);
--- a/system/decisions/replication/replica_reads.cpp
+++ b/system/decisions/replication/replica_reads.cpp
@@ -1,10 +1,10 @@
-// Replica: linearizable reads, of callers and of its own.
+// Replica: linearizable reads, for callers and for its own use.
 #include "replication/replica.h"
 
 namespace ivygw::replication {
 namespace {
 
-// Ids of callers' reads are even, those of the replica's own reads odd.
+// IDs of callers' reads are even, those of the replica's own reads are odd.
 ReadId ReadOfTicket(uint64_t ticket) { return 2 * ticket; }
 bool IsOfTicket(ReadId id) { return id % 2 == 0; }
 uint64_t TicketOf(ReadId id) { return id / 2; }
@@ -39,8 +39,8 @@
   if (!closed) return;
   if (reads_.highest_revision() > revision_) {
     for (const auto& [address, peer] : peers_.all()) {
-      bool holds_it = peer.connected && peer.header.revision >= reads_.highest_revision();
-      if (holds_it) RequestDelta(in.now, address, in.out);
+      bool has_revision = peer.connected && peer.header.revision >= reads_.highest_revision();
+      if (has_revision) RequestDelta(in.now, address, in.out);
     }
   }
   EndReadyReads(in.now, in.out);
--- a/system/decisions/replication/table.cpp
+++ b/system/decisions/replication/table.cpp
@@ -5,7 +5,7 @@
 namespace ivygw::replication {
 namespace {
 
-// What a record takes in a message, about.
+// The approximate size of a record in a message.
 size_t SizeOf(const Record& record) {
   constexpr size_t kFixed = 64, kPast = 16;
   return kFixed + record.item.key.size() + record.item.body.size() + kPast * record.past.size();
--- a/system/decisions/replication/table.h
+++ b/system/decisions/replication/table.h
@@ -1,5 +1,5 @@
-// The records of one replicated table at one revision, with what catching up needs: the records by the
-// revision that wrote them last, and the tombstones that ended lately. Pure; one thread.
+// The records of one replicated table at one revision, and the indexes for catch-up: keys by the revision
+// that last wrote them, and recently removed tombstones. No I/O; not thread-safe.
 #ifndef IVYGW_SYSTEM_REPLICATION_TABLE_H_
 #define IVYGW_SYSTEM_REPLICATION_TABLE_H_
 
@@ -16,32 +16,32 @@
 
 class Table {
  public:
-  // Null where there is none.
+  // Returns null if there is no such record.
   const Record* Find(const std::string& key) const;
   const std::map<std::string, Record>& records() const { return records_; }
 
   void Put(const Record& record);
-  // The tombstone ended with the change of `revision`.
+  // Removes a tombstone that the change of `revision` has pruned.
   void Erase(const std::string& key, uint64_t revision);
   void Clear();
-  // What ended at or before `revision` is not known.
+  // Forgets the removed tombstones. Removals up to `revision` are treated as unknown.
   void ForgetPruned(uint64_t revision);
 
-  // One part of what was asked for, of about `bytes`, at revisions up to `end`, the revision of this table.
+  // Returns one part of the requested changes, of about `bytes`. `end` is the revision of this table.
   messages::Delta DeltaFor(const messages::DeltaRequest& request, uint64_t end, size_t bytes) const;
 
  private:
-  static constexpr size_t kMaxPrunedKeys = 8192;  // ends of tombstones that are remembered
+  static constexpr size_t kMaxPrunedKeys = 8192;  // removed tombstones that are remembered
 
   void Unindex(const Record& record);
 
   std::map<std::string, Record> records_;
   std::map<uint64_t, std::set<std::string>> by_revision_;
-  std::deque<messages::PrunedKey> pruned_;  // by revision
-  uint64_t pruned_floor_ = 0;               // ends up to this revision are not remembered
+  std::deque<messages::PrunedKey> pruned_;  // in order of revision
+  uint64_t pruned_floor_ = 0;               // removals up to this revision may have been forgotten
 };
 
-// A table as it would be with some records written on top. Refers to the table, which outlives it.
+// A view of a table with some records written on top of it. The table must outlive the view.
 class TableOverlay {
  public:
   explicit TableOverlay(const Table& table) : table_(table) {}
--- a/tests/system/golden_formats_test.cpp
+++ b/tests/system/golden_formats_test.cpp
@@ -1,6 +1,6 @@
-// The bytes of what the system stores and of what its processes send to each other, held against golden data
-// of an earlier build: a store of format 2, a snapshot file, every message. Each field of a sample differs
-// from its default and from its neighbours, so that two fields that change places are seen.
+// Compares the stored formats and the messages with golden data written by an earlier build: a store of
+// format 2, a snapshot file and every message. Each field of a sample differs from its default and from its
+// neighbours, so that swapping two fields is detected.
 #include <leveldb/db.h>
 
 #include <cstdio>
@@ -19,7 +19,7 @@
 #include "storage/table_disk.h"
 #include "storage/table_format.h"
 
-#include <CppUTest/TestHarness.h>  // after all others: it names new anew
+#include <CppUTest/TestHarness.h>  // must be last: it redefines new
 
 using namespace ivygw::messages;
 namespace discovery = ivygw::discovery;
@@ -62,7 +62,7 @@
 }
 ProposalNumber SampleNumber(uint64_t number) { return {.counter = number, .proposer = number + 1}; }
 
-// One sample of each kind of PeerBody, in the order of the variant.
+// One sample of each alternative of PeerBody, in the order of the variant.
 std::vector<std::pair<std::string, PeerBody>> PeerSamples() {
   return {
       {"Prepare", Prepare{.revision = 71, .number = SampleNumber(72)}},
@@ -88,7 +88,8 @@
       {"EpochNotice", EpochNotice{.membership = SampleMembership()}}};
 }
 
-// One sample of each kind of Message but PeerMessage, in the order of the variant.
+// One sample of each alternative of Message except PeerMessage, in the order of the variant. The names are
+// those of the golden file.
 std::vector<std::pair<std::string, Message>> ControlSamples() {
   TenantUsage usage{.tenant = "tenant-1",
                     .rate = 152.5F,
@@ -159,7 +160,7 @@
           .records = {SampleRecord(), second}};
 }
 
-// What a folder with a store holds, key by key.
+// Returns all key-value pairs of the LevelDB database in this folder.
 std::vector<std::pair<std::string, std::string>> StoredPairs(const std::string& folder) {
   leveldb::DB* opened = nullptr;
   leveldb::Status status = leveldb::DB::Open(leveldb::Options(), folder, &opened);
@@ -183,7 +184,7 @@
     std::string difference = golden.Difference(name, written);
     CHECK_TRUE_TEXT(difference.empty(), difference.c_str());
   }
-  // All differences at once, for whoever changes many.
+  // Reports all differences at once.
   void CheckAll(const std::vector<std::pair<std::string, std::string>>& written) {
     std::string differences;
     for (const auto& [name, bytes] : written) differences += golden.Difference(name, bytes);
@@ -282,7 +283,7 @@
   CHECK(*read.snapshot == SampleSnapshot());
 }
 
-// An item of the registry, and the names that are part of what is stored and sent.
+// The JSON text of a registry item.
 TEST(GoldenFormats, ABackendHasTheTextOfTheLandedBuild) {
   discovery::Backend backend{.id = "backend-7",
                              .service = "svc",
