--- a/tests/system/control_operators.h
+++ b/tests/system/control_operators.h
@@ -1,5 +1,4 @@
-// Callers of a simulated world: operators who write, race, send again, read and prune; and how many seeds a
-// test runs.
+// Simulated operators, who write, compete, retry, read and prune; and the number of seeds that a test runs.
 #ifndef IVYGW_TESTS_SYSTEM_CONTROL_OPERATORS_H_
 #define IVYGW_TESTS_SYSTEM_CONTROL_OPERATORS_H_
 
@@ -13,44 +12,44 @@
 namespace ivygw::control_sim {
 
 inline size_t Seeds(size_t share = 1) {
-  const char* told = std::getenv("IVYGW_SEEDS");
-  size_t all = told ? std::strtoul(told, nullptr, 10) : 200;
+  const char* value = std::getenv("IVYGW_SEEDS");
+  size_t all = value ? std::strtoul(value, nullptr, 10) : 200;
   return std::max<size_t>(1, all / share);
 }
 
 class Operators {
  public:
-  // Acts after pauses of `pause` s on average. `races`: several operators use one number.
+  // Acts after random pauses, `pause` seconds on average. `races`: several operators use the same version.
   Operators(World* world, bool races, double pause) : world_(*world), races_(races), pause_(pause) {
-    ActLater();
+    ScheduleNext();
   }
   void Stop() { stopped_ = true; }
 
  private:
-  void ActLater() {
-    world_.At(2 * pause_ * world_.Chance(), [this] {
+  void ScheduleNext() {
+    world_.Schedule(2 * pause_ * world_.Chance(), [this] {
       if (stopped_) return;
       Act();
-      ActLater();
+      ScheduleNext();
     });
   }
   void Act() {
     double what = world_.Chance();
     if (what < 0.40) {
-      Note(world_.Write(world_.Any(), Key(), Next(world_.Pick(kKeys)), world_.Chance(0.1)));
+      Note(world_.Write(world_.AnyMachine(), Key(), Next(world_.Pick(kKeys)), world_.Chance(0.1)));
     } else if (what < 0.52) {
       Race();
     } else if (what < 0.62) {
       WriteSeveral();
     } else if (what < 0.74 && !commands_.empty()) {
       size_t recent = std::min<size_t>(commands_.size(), world_.Chance(0.7) ? 10 : 200);
-      world_.Resend(commands_[commands_.size() - 1 - world_.Pick(recent)], world_.Any());
+      world_.Resend(commands_[commands_.size() - 1 - world_.Pick(recent)], world_.AnyMachine());
     } else if (what < 0.80) {
       WriteOlder();
     } else if (what < 0.90) {
-      world_.Read(world_.Any());
+      world_.Read(world_.AnyMachine());
     } else {
-      EndKey();
+      WriteDropAndPrune();
     }
   }
   static constexpr size_t kKeys = 5;
@@ -62,10 +61,10 @@
   void Note(size_t command) { commands_.push_back(command); }
   void Race() {
     uint64_t version = Next(world_.Pick(kKeys));
-    Note(world_.Write(world_.Any(), Key(), version));
+    Note(world_.Write(world_.AnyMachine(), Key(), version));
     if (!races_) return;
-    Note(world_.Write(world_.Any(), Key(), version));
-    if (world_.Chance(0.5)) world_.Resend(commands_.back(), world_.Any());
+    Note(world_.Write(world_.AnyMachine(), Key(), version));
+    if (world_.Chance(0.5)) world_.Resend(commands_.back(), world_.AnyMachine());
   }
   void WriteSeveral() {
     std::vector<std::pair<std::string, uint64_t>> keys;
@@ -75,26 +74,26 @@
       keys.emplace_back(Key(), version);
     }
     if (keys.empty()) return;
-    Note(world_.WriteMany(world_.Any(), keys));
-    if (races_ && world_.Chance(0.3)) Note(world_.WriteMany(world_.Any(), keys));
+    Note(world_.WriteMany(world_.AnyMachine(), keys));
+    if (races_ && world_.Chance(0.3)) Note(world_.WriteMany(world_.AnyMachine(), keys));
   }
-  // A number below the newest, which may have been used.
+  // Writes a version below the newest, which may have been used before.
   void WriteOlder() {
     last_key_ = world_.Pick(kKeys);
     if (!races_ || versions_[last_key_] < 3) return;
-    Note(world_.Write(world_.Any(), Key(), versions_[last_key_] - 1 - world_.Pick(2)));
+    Note(world_.Write(world_.AnyMachine(), Key(), versions_[last_key_] - 1 - world_.Pick(2)));
   }
-  // A key of its own is written, dropped, and its tombstone ended.
-  void EndKey() {
-    std::string key = "ended/" + std::to_string(++ended_keys_);
-    std::string machine = world_.Any();
+  // Writes a new key, drops it, and prunes its tombstone.
+  void WriteDropAndPrune() {
+    std::string key = "ended/" + std::to_string(++pruned_keys_);
+    std::string machine = world_.AnyMachine();
     world_.Write(machine, key, 1);
     size_t drop = world_.Write(machine, key, 2, true);
-    // Long after whatever was on its way for that key has ended.
-    world_.At(1.5, [this, drop] {
+    // By then no command for that key is pending any more.
+    world_.Schedule(1.5, [this, drop] {
       if (!world_.rules().command(drop).confirmed) return;
-      world_.At(1.5, [this, drop] {
-        if (!stopped_) world_.Prune(world_.Any(), world_.rules().command(drop).items);
+      world_.Schedule(1.5, [this, drop] {
+        if (!stopped_) world_.Prune(world_.AnyMachine(), world_.rules().command(drop).items);
       });
     });
   }
@@ -104,7 +103,7 @@
   const double pause_;
   bool stopped_ = false;
   std::map<size_t, uint64_t> versions_;
-  size_t last_key_ = 0, ended_keys_ = 0;
+  size_t last_key_ = 0, pruned_keys_ = 0;
   std::vector<size_t> commands_;
 };
 
--- a/tests/system/control_rules.cpp
+++ b/tests/system/control_rules.cpp
@@ -12,7 +12,7 @@
   return record.past.size() >= replication::kMaxPastVersions;
 }
 
-std::string Name(const Item& item) {
+std::string Describe(const Item& item) {
   return item.key + " " + std::to_string(item.version) + " '" + item.body + "'";
 }
 
@@ -29,13 +29,13 @@
   return digest;
 }
 
-std::string Follower::Merge(const Item& item) {
+std::string GatewayCopy::Merge(const Item& item) {
   Item& seen = items_[item.key];
   if (seen.key.empty() || item.version > seen.version) {
     seen = item;
     return {};
   }
-  if (item.version == seen.version && !(item == seen)) return Name(seen) + " became " + Name(item);
+  if (item.version == seen.version && !(item == seen)) return Describe(seen) + " became " + Describe(item);
   return {};
 }
 
@@ -48,43 +48,45 @@
 void Rules::OnCommandCompleted(size_t index, const std::string& core, const Replica& replica,
                                const replication::Completion& ended) {
   Command& command = commands_[index];
-  const std::string name = Name(command.items.front());
+  const std::string name = Describe(command.items.front());
   switch (ended.outcome) {
-    case Outcome::kMaybeDone: ++unclear; return;
+    case Outcome::kMaybeDone: ++indeterminate; return;
     case Outcome::kNotDone:
-      ++not_taken;
-      --command.possible;
+      ++not_done;
+      --command.possible_executions;
       break;
     case Outcome::kRejected:
-      ++refused;
-      --command.possible;
+      ++rejected;
+      --command.possible_executions;
       if (ended.rejection.code != replication::RejectionCode::kConflict) break;
-      if (command.confirmed) Broken(core + " refused what was confirmed: " + name);
-      if (command.seen) Broken(core + " refused what is in force: " + name);
-      command.refused = true;
+      if (command.confirmed) ReportViolation(core + " rejected what was confirmed: " + name);
+      if (command.seen) ReportViolation(core + " rejected what is applied: " + name);
+      command.rejected = true;
       return;
     case Outcome::kDone:
       ++confirmed;
       command.confirmed = true;
-      if (keep_past_ && command.refused) Broken(core + " confirmed what was refused: " + name);
+      if (keep_past_ && command.rejected) ReportViolation(core + " confirmed what was rejected: " + name);
       for (const Item& item : command.items) {
         if (keep_past_) {
           auto [it, is_new] = confirmed_contents_.try_emplace({item.key, item.version}, item);
           if (!is_new && !(it->second == item))
-            Broken("both confirmed: " + Name(it->second) + " and " + Name(item));
+            ReportViolation("both confirmed: " + Describe(it->second) + " and " + Describe(item));
         }
         const Record* record = replica.table().Find(item.key);
-        bool ended_since = may_end_.contains(item.key);
+        bool ended_since = pruned_versions_.contains(item.key);
         if (!record) {
-          if (!ended_since) Broken(core + " confirmed and doesn't hold " + Name(item));
+          if (!ended_since) ReportViolation(core + " confirmed and doesn't have " + Describe(item));
           continue;
         }
-        if (record->item.version < item.version) Broken(core + " confirmed and holds an older " + Name(item));
+        if (record->item.version < item.version)
+          ReportViolation(core + " confirmed and has an older " + Describe(item));
         if (record->item.version == item.version && !(record->item == item)) {
-          Broken(core + " confirmed " + Name(item) + " where " + Name(record->item) + " stands");
+          ReportViolation(core + " confirmed " + Describe(item) + " but has " + Describe(record->item) +
+                          " instead");
         }
         if (record->item.version > item.version && keep_past_ && !Remembers(*record, item)) {
-          Broken(core + " confirmed and has forgotten " + Name(item));
+          ReportViolation(core + " confirmed and has forgotten " + Describe(item));
         }
         Confirmed& newest = newest_confirmed_[item.key];
         if (newest.item.key.empty() || newest.item.version < item.version)
@@ -92,35 +94,36 @@
       }
       return;
   }
-  if (command.possible == 0 && command.seen) Broken(core + " told as not done what is in force: " + name);
+  if (command.possible_executions == 0 && command.seen)
+    ReportViolation(core + " reported as not done what is applied: " + name);
 }
 
-void Rules::OnPruneAsked(const std::vector<Item>& tombstones) {
-  for (const Item& item : tombstones) may_end_[item.key] = item.version;
+void Rules::OnPruneRequested(const std::vector<Item>& tombstones) {
+  for (const Item& item : tombstones) pruned_versions_[item.key] = item.version;
 }
 
-void Rules::OnReadEnded(uint64_t decided_when_asked, const std::string& core, const Replica& replica) {
+void Rules::OnReadEnded(uint64_t decided_before, const std::string& core, const Replica& replica) {
   ++reads;
-  if (replica.revision() < decided_when_asked) {
-    Broken("a read at " + core + " returns revision " + std::to_string(replica.revision()) + " where " +
-           std::to_string(decided_when_asked) + " was decided");
+  if (replica.revision() < decided_before) {
+    ReportViolation("a read at " + core + " returns revision " + std::to_string(replica.revision()) +
+                    " where " + std::to_string(decided_before) + " was decided");
   }
 }
 
 void Rules::OnStarted(const std::string& core, const DiskImage& loaded) {
   Copy& copy = copies_[core];
   copy.digests.clear();
-  copy.sum = 0;
+  copy.checksum = 0;
   copy.revision = loaded.state.revision;
   copy.epoch = loaded.state.membership.epoch;
   for (const auto& [key, record] : loaded.records) {
     uint64_t digest = DigestOfRecord(record);
     copy.digests[key] = digest;
-    copy.sum ^= digest;
+    copy.checksum ^= digest;
   }
   auto it = revisions_.find(copy.revision);
-  if (it != revisions_.end() && it->second.sum != copy.sum)
-    Broken("the disk of " + core + " holds no whole revision");
+  if (it != revisions_.end() && it->second.checksum != copy.checksum)
+    ReportViolation("the disk of " + core + " doesn't hold exactly one revision");
   if (membership_.epoch == 0) membership_ = loaded.state.membership;
 }
 
@@ -128,13 +131,13 @@
   Copy& copy = copies_[core];
   if (effects.reset) {
     copy.digests.clear();
-    copy.sum = 0;
+    copy.checksum = 0;
   }
-  for (const std::string& key : effects.changed) TakeRecord(core, replica, key, &copy);
+  for (const std::string& key : effects.changed) UpdateRecord(core, replica, key, &copy);
   if (replica.revision() < copy.revision)
-    Broken(core + " went back to revision " + std::to_string(replica.revision()));
+    ReportViolation(core + " went back to revision " + std::to_string(replica.revision()));
   if (replica.membership().epoch < copy.epoch)
-    Broken(core + " went back to epoch " + std::to_string(copy.epoch));
+    ReportViolation(core + " went back to epoch " + std::to_string(copy.epoch));
   copy.epoch = replica.membership().epoch;
   if (replica.revision() == copy.revision && effects.changed.empty() && !effects.reset) return;
   copy.revision = replica.revision();
@@ -145,29 +148,30 @@
   }
 }
 
-void Rules::TakeRecord(const std::string& core, const Replica& replica, const std::string& key, Copy* copy) {
+void Rules::UpdateRecord(const std::string& core, const Replica& replica, const std::string& key,
+                         Copy* copy) {
   if (auto it = copy->digests.find(key); it != copy->digests.end()) {
-    copy->sum ^= it->second;
+    copy->checksum ^= it->second;
     copy->digests.erase(it);
   }
   const Record* record = replica.table().Find(key);
   if (!record) {
-    auto seen = copy->follower.items().find(key);
-    auto may_end = may_end_.find(key);
-    if (may_end == may_end_.end()) Broken(key + " vanished at " + core);
-    if (seen != copy->follower.items().end() && may_end != may_end_.end() &&
-        seen->second.version > may_end->second) {
-      Broken(key + " ended at " + core + " above the tombstone");
+    auto seen = copy->gateway.items().find(key);
+    auto pruned_version = pruned_versions_.find(key);
+    if (pruned_version == pruned_versions_.end()) ReportViolation(key + " disappeared at " + core);
+    if (seen != copy->gateway.items().end() && pruned_version != pruned_versions_.end() &&
+        seen->second.version > pruned_version->second) {
+      ReportViolation(key + " was removed at " + core + " although newer than the tombstone");
     }
-    copy->follower.Forget(key);
+    copy->gateway.Remove(key);
     return;
   }
   uint64_t digest = DigestOfRecord(*record);
   copy->digests[key] = digest;
-  copy->sum ^= digest;
-  for (Follower* follower : {&copy->follower, &roaming_}) {
-    std::string back = follower->Merge(record->item);
-    if (!back.empty()) Broken("a gateway at " + core + ": " + back);
+  copy->checksum ^= digest;
+  for (GatewayCopy* gateway : {&copy->gateway, &roaming_gateway_}) {
+    std::string back = gateway->Merge(record->item);
+    if (!back.empty()) ReportViolation("a gateway at " + core + ": " + back);
   }
 }
 
@@ -175,18 +179,19 @@
   const Item& item = record.item;
   auto [it, is_new] = seen_contents_.try_emplace({item.key, item.version}, item);
   if (!is_new && !(it->second == item))
-    Broken("in force at " + core + ": " + Name(item) + ", elsewhere " + Name(it->second));
+    ReportViolation("applied at " + core + ": " + Describe(item) + ", elsewhere " + Describe(it->second));
   auto found = command_of_content_.find(item.body);
-  if (found == command_of_content_.end()) return Broken("nobody ordered " + Name(item));
+  if (found == command_of_content_.end()) return ReportViolation("no command wrote " + Describe(item));
   Command& command = commands_[found->second];
   command.seen = true;
-  if (command.refused) Broken("refused, and in force at " + core + ": " + Name(item));
-  if (command.possible == 0) Broken("not taken, and in force at " + core + ": " + Name(item));
+  if (command.rejected) ReportViolation("rejected, and applied at " + core + ": " + Describe(item));
+  if (command.possible_executions == 0)
+    ReportViolation("not done, and applied at " + core + ": " + Describe(item));
   for (const Item& other : command.items) {
-    if (may_end_.contains(other.key)) continue;
+    if (pruned_versions_.contains(other.key)) continue;
     const Record* standing = replica.table().Find(other.key);
     if (standing && (standing->item == other || standing->item.version > other.version)) continue;
-    Broken("at " + core + " in force without the rest of its order: " + Name(item));
+    ReportViolation("at " + core + " applied without the rest of its command: " + Describe(item));
   }
 }
 
@@ -196,28 +201,30 @@
   const Item& item = it->second.item;
   const Record* record = replica.table().Find(key);
   if (!record) {
-    if (!may_end_.contains(key)) Broken("confirmed, and gone at " + core + ": " + Name(item));
+    if (!pruned_versions_.contains(key))
+      ReportViolation("confirmed, and missing at " + core + ": " + Describe(item));
     return;
   }
-  if (record->item.version < item.version) Broken("confirmed, and replaced at " + core + ": " + Name(item));
+  if (record->item.version < item.version)
+    ReportViolation("confirmed, and replaced at " + core + ": " + Describe(item));
   if (record->item.version == item.version && !(record->item == item)) {
-    Broken("confirmed, and replaced under its number at " + core + ": " + Name(item));
+    ReportViolation("confirmed, and replaced under its version at " + core + ": " + Describe(item));
   }
 }
 
 void Rules::CheckRevision(const std::string& core, const Replica& replica, const Copy& copy) {
   if (copy.digests.size() != replica.table().records().size())
-    Broken(core + " doesn't tell what has changed");
-  auto [it, is_new] = revisions_.try_emplace(copy.revision, Decided{copy.sum, replica.membership()});
-  if (it->second.sum != copy.sum)
-    Broken(core + " holds another table at revision " + std::to_string(copy.revision));
+    ReportViolation(core + " doesn't report all changed keys");
+  auto [it, is_new] = revisions_.try_emplace(copy.revision, Decided{copy.checksum, replica.membership()});
+  if (it->second.checksum != copy.checksum)
+    ReportViolation(core + " has a different table at revision " + std::to_string(copy.revision));
   if (copy.revision > 0 && !(it->second.membership == replica.membership())) {
-    Broken(core + " has other members at revision " + std::to_string(copy.revision));
+    ReportViolation(core + " has different members at revision " + std::to_string(copy.revision));
   }
-  if (copy.revision > decided_) NoteDecided(core, replica, copy);
+  if (copy.revision > decided_) OnDecided(core, replica, copy);
 }
 
-void Rules::NoteDecided(const std::string& core, const Replica& replica, const Copy& copy) {
+void Rules::OnDecided(const std::string& core, const Replica& replica, const Copy& copy) {
   Membership before = membership_;
   decided_ = copy.revision;
   newest_change_ = 0;
@@ -230,18 +237,18 @@
   CheckMajority(before, true);
   if (before.epoch == membership_.epoch) return;
   CheckMajority(membership_, true);
-  CheckJoined(core, before);
+  CheckNewMembers(core, before);
 }
 
-// Whoever joins holds all that is decided on its disk, unless it fell silent meanwhile.
-void Rules::CheckJoined(const std::string& core, const Membership& before) {
+// A new member must have everything decided on its disk, unless it has become unresponsive.
+void Rules::CheckNewMembers(const std::string& core, const Membership& before) {
   for (const Member& member : membership_.members) {
     bool stays = std::any_of(before.members.begin(), before.members.end(),
                              [&](const Member& other) { return other.SameStore(member); });
     const DiskImage* image = find_store_(member, true);
-    if (stays || (image && HoldsNewest(*image)) || !answers_(core, member)) continue;
-    Broken(member.address + " joined epoch " + std::to_string(membership_.epoch) +
-           " and doesn't hold its revision on disk");
+    if (stays || (image && HoldsNewest(*image)) || !is_responsive_(core, member)) continue;
+    ReportViolation(member.address + " joined epoch " + std::to_string(membership_.epoch) +
+                    " without its revision on disk");
   }
 }
 
@@ -251,12 +258,12 @@
     return false;
   if (image.accepted->change.membership.has_value() != newest_changes_members_) return false;
   if (newest_changes_members_ && !(*image.accepted->change.membership == membership_)) return false;
-  uint64_t sum = 0;
-  for (const Record& record : image.accepted->change.records) sum ^= DigestOfRecord(record);
-  return sum == newest_change_;
+  uint64_t checksum = 0;
+  for (const Record& record : image.accepted->change.records) checksum ^= DigestOfRecord(record);
+  return checksum == newest_change_;
 }
 
-// A majority has the newest revision on disk when it is decided; later all of it whose disks aren't lost.
+// When a revision is decided, a majority must have it on disk. Later, lost disks are not counted.
 void Rules::CheckMajority(const Membership& membership, bool decided_now) {
   size_t needed = membership.Quorum(), holders = 0;
   for (const Member& member : membership.members) {
@@ -265,32 +272,32 @@
     if (image && HoldsNewest(*image)) ++holders;
   }
   if (holders >= needed) return;
-  Broken(std::string(decided_now ? "decided" : "held") + ", and on too few disks of epoch " +
-         std::to_string(membership.epoch) + ": revision " + std::to_string(decided_) + " on " +
-         std::to_string(holders) + " of " + std::to_string(membership.members.size()));
+  ReportViolation(std::string(decided_now ? "decided" : "stored") + ", but on too few disks of epoch " +
+                  std::to_string(membership.epoch) + ": revision " + std::to_string(decided_) + " on " +
+                  std::to_string(holders) + " of " + std::to_string(membership.members.size()));
 }
 
-void Rules::OnDisk() {
+void Rules::OnDiskChanged() {
   if (decided_ > 0) CheckMajority(membership_, false);
 }
 
-void Rules::CheckWhole(const std::string& core, const Replica& replica) {
+void Rules::CheckComplete(const std::string& core, const Replica& replica) {
   const Copy& copy = copies_[core];
-  uint64_t sum = 0;
+  uint64_t checksum = 0;
   for (const auto& [key, record] : replica.table().records()) {
-    sum ^= DigestOfRecord(record);
+    checksum ^= DigestOfRecord(record);
     CheckContent(core, replica, record);
-    auto seen = copy.follower.items().find(key);
-    if (seen != copy.follower.items().end() && !(seen->second == record.item))
-      Broken("a gateway at " + core + " lags at " + key);
+    auto seen = copy.gateway.items().find(key);
+    if (seen != copy.gateway.items().end() && !(seen->second == record.item))
+      ReportViolation("a gateway at " + core + " is outdated at " + key);
   }
-  if (sum != copy.sum) Broken(core + " doesn't tell what has changed");
+  if (checksum != copy.checksum) ReportViolation(core + " doesn't report all changed keys");
   for (const auto& [key, item] : newest_confirmed_) CheckConfirmed(core, replica, key);
   for (const auto& [key_and_version, item] : confirmed_contents_) {
     const Record* record = replica.table().Find(item.key);
-    if (!record) continue;  // CheckConfirmed has judged it
+    if (!record) continue;  // checked by CheckConfirmed
     bool stands = record->item == item || (record->item.version > item.version && Remembers(*record, item));
-    if (!stands) Broken(core + " doesn't know what was confirmed: " + Name(item));
+    if (!stands) ReportViolation(core + " doesn't know what was confirmed: " + Describe(item));
   }
 }
 
--- a/tests/system/control_sim.cpp
+++ b/tests/system/control_sim.cpp
@@ -17,18 +17,18 @@
 constexpr double kNever = std::numeric_limits<double>::infinity();
 constexpr double kTick = 0.05;
 constexpr double kShortPause = 0.1;
-constexpr double kPingsNotice = 1.5;  // a link that carries nothing any more is given up
-constexpr double kMostStale = 2.0;    // of what a core in contact holds
-constexpr double kHeardWithin = 0.3;  // a heartbeat and its way
-constexpr double kMostBehind = 1.0;   // of the disk of who is proposed as a member
-constexpr double kOrderPatience = 0.9;
-constexpr double kLeastLinkDelay = 0.0003, kLinkJitter = 0.002;
-constexpr double kRestartDelay = 0.5;  // of a process that has ended by itself
-constexpr double kWriteRetry = 0.1;    // of a disk that refuses
-constexpr double kLeastSync = 0.002, kSyncJitter = 0.004, kPlainWrite = 0.0002;
-
-// The order's own judgement, of those of its items.
-void Join(const replication::ItemEvaluation& one, Evaluation* all) {
+constexpr double kDeadLinkTimeout = 1.5;  // after this time without traffic a link is closed
+constexpr double kMaxStaleness = 2.0;     // of the copy of a core that is in contact
+constexpr double kHeartbeatDelay = 0.3;   // the heartbeat interval plus transmission
+constexpr double kMaxLearnerLag = 1.0;    // of the disk of a proposed new member
+constexpr double kCommandTimeout = 0.9;
+constexpr double kMinLinkDelay = 0.0003, kLinkJitter = 0.002;
+constexpr double kRestartDelay = 0.5;  // of a process that has exited by itself
+constexpr double kWriteRetry = 0.1;    // of a disk that refuses writes
+constexpr double kMinSyncTime = 0.002, kSyncJitter = 0.004, kUnsyncedWriteTime = 0.0002;
+
+// Combines the evaluations of a command's items into that of the command.
+void Combine(const replication::ItemEvaluation& one, Evaluation* all) {
   using Kind = Evaluation::Kind;
   if (one.kind == Kind::kRejected || all->kind == Kind::kRejected) {
     all->kind = Kind::kRejected;
@@ -45,10 +45,10 @@
 Evaluation SimulatedPolicy::Evaluate(const std::vector<Item>& items,
                                      const replication::TableOverlay& overlay) const {
   Evaluation evaluation;
-  for (const Item& item : items) Join(EvaluateOne(item, overlay.Find(item.key)), &evaluation);
+  for (const Item& item : items) Combine(EvaluateOne(item, overlay.Find(item.key)), &evaluation);
   if (evaluation.kind == Evaluation::Kind::kRejected) {
     evaluation.rejection = {replication::RejectionCode::kConflict, "version",
-                            "confirmed with another content"};
+                            "confirmed with different content"};
   }
   if (evaluation.kind != Evaluation::Kind::kApply) evaluation.records.clear();
   return evaluation;
@@ -69,8 +69,8 @@
       random_(options_.seed),
       rules_(
           options_.keep_past,
-          [this](const Member& member, bool or_held) { return FindStore(member, or_held); },
-          [this](const std::string& core, const Member& member) { return Answers(core, member); }) {
+          [this](const Member& member, bool or_last_content) { return FindStore(member, or_last_content); },
+          [this](const std::string& core, const Member& member) { return IsResponsive(core, member); }) {
   DiskImage founder;
   founder.state.store_id = replication::kFounderStoreId;
   founder.state.membership.epoch = 1;
@@ -93,8 +93,8 @@
   DialAll();
 }
 
-void World::Broken(const std::string& what) {
-  if (broken_.empty()) broken_ = "at " + std::to_string(now_) + ": " + what;
+void World::ReportViolation(const std::string& what) {
+  if (violation_.empty()) violation_ = "at " + std::to_string(now_) + ": " + what;
 }
 
 void World::Trace(const std::string& what) const {
@@ -111,8 +111,8 @@
         " durable " + std::to_string(message.header.durable_revision));
 }
 
-void World::Until(double at) {
-  while (!Stops() && !events_.empty() && events_.top().at <= at) {
+void World::RunUntil(double at) {
+  while (!ShouldStop() && !events_.empty() && events_.top().at <= at) {
     std::function<void()> run = events_.top().run;
     now_ = events_.top().at;
     events_.pop();
@@ -131,7 +131,7 @@
   return names;
 }
 
-std::string World::Any() {
+std::string World::AnyMachine() {
   std::vector<std::string> names = Machines();
   return names[Pick(names.size())];
 }
@@ -171,11 +171,11 @@
   Machine& machine = machines_.at(name);
   if (machine.replica || machine.removed) return;
   Trace("start " + name);
-  ++machine.life;
+  ++machine.process_number;
   std::optional<DiskImage> image = LoadImage(&machine);
   if (!image) {
-    At(kRestartDelay, [this, name, life = machine.life] {
-      if (machines_.at(name).life == life) Start(name);
+    Schedule(kRestartDelay, [this, name, process_number = machine.process_number] {
+      if (machines_.at(name).process_number == process_number) Start(name);
     });
     return;
   }
@@ -187,35 +187,35 @@
   options.zone = "zone" + std::to_string(name.back() % 3);
   options.incarnation = RandomId();
   options.voters = options_.voters;
-  options.command_timeout = Duration(kOrderPatience);
+  options.command_timeout = Duration(kCommandTimeout);
   machine.replica = std::make_unique<Replica>(options, image->Load(), machine.policy.get());
-  machine.reached_until.clear();
-  machine.clock_offset = 1000 * Chance();  // since the machine has been on
+  machine.reachable_until.clear();
+  machine.clock_offset = 1000 * Chance();  // uptime of the machine
   rules_.OnStarted(name, *image);
   UpdateContact();
-  Tick(name, machine.life);
+  Tick(name, machine.process_number);
 }
 
-void World::EndProcess(Machine* machine, double told_after) {
+void World::EndProcess(Machine* machine, double notice_delay) {
   if (!machine->replica) {
-    ++machine->life;  // it may be starting
+    ++machine->process_number;  // cancels a pending start
     return;
   }
   machine->replica.reset();
-  ++machine->life;
-  machine->tickets.clear();  // whoever waits never knows: each may have been done
-  machine->met.clear();
+  ++machine->process_number;
+  machine->tickets.clear();  // callers never learn the outcome: each call may have been done
+  machine->connected_before.clear();
   machine->writing = false;
   machine->paused_until = -1;
   if (machine->store) {
-    const std::deque<StoreBatch>& unwritten = machine->disk.given_batches();
-    machine->store->ProcessEnds({unwritten.begin(), unwritten.end()});
-    machine->disk.ProcessEnds(0);
+    const std::deque<StoreBatch>& unwritten = machine->disk.queued_batches();
+    machine->store->OnProcessEnd({unwritten.begin(), unwritten.end()});
+    machine->disk.OnProcessEnd(0);
   } else {
-    machine->disk.ProcessEnds(Pick(machine->disk.given() + 1));
+    machine->disk.OnProcessEnd(Pick(machine->disk.queued() + 1));
   }
   for (const auto& [name, other] : machines_) {
-    if (name != machine->address) Disconnect(machine->address, name, told_after);
+    if (name != machine->address) Disconnect(machine->address, name, notice_delay);
   }
   UpdateContact();
 }
@@ -233,15 +233,15 @@
 void World::PowerOff(const std::string& name) {
   Trace("power off " + name);
   Machine& machine = machines_.at(name);
-  EndProcess(&machine, kPingsNotice);
-  if (machine.store) machine.store->PowerEnds();
-  machine.disk.PowerEnds(Pick(machine.disk.not_durable() + 1));
+  EndProcess(&machine, kDeadLinkTimeout);
+  if (machine.store) machine.store->OnPowerLoss();
+  machine.disk.OnPowerLoss(Pick(machine.disk.not_durable() + 1));
 }
 
 void World::Wipe(const std::string& name) {
   Trace("wipe " + name);
   Machine& machine = machines_.at(name);
-  EndProcess(&machine, kPingsNotice);
+  EndProcess(&machine, kDeadLinkTimeout);
   DiskImage empty;
   empty.state.store_id = RandomId();
   if (options_.wiped_keeps_store_id) {
@@ -252,7 +252,7 @@
   lost_stores_[{name, held.state.store_id}] = held;
   machine.disk = SimulatedDisk(empty);
   if (machine.store) machine.store->Lose();
-  if (!options_.wiped_keeps_store_id) rules_.OnDisk();
+  if (!options_.wiped_keeps_store_id) rules_.OnDiskChanged();
 }
 
 void World::Remove(const std::string& name) {
@@ -260,13 +260,13 @@
   machines_.at(name).removed = true;
 }
 
-const DiskImage* World::FindStore(const Member& member, bool or_held) const {
+const DiskImage* World::FindStore(const Member& member, bool or_last_content) const {
   auto it = machines_.find(member.address);
   if (it == machines_.end()) return nullptr;
   const DiskImage& image = it->second.disk.durable();
   if (image.state.store_id == member.store_id) return &image;
   auto lost = lost_stores_.find({member.address, member.store_id});
-  return or_held && lost != lost_stores_.end() ? &lost->second : nullptr;
+  return or_last_content && lost != lost_stores_.end() ? &lost->second : nullptr;
 }
 
 // Processes.
@@ -276,43 +276,43 @@
   if (machine.paused_until > now_) return RunLater(machine.paused_until - now_, name, event);
   Effects effects;
   event(machine.replica.get(), TimePointOf(Clock(machine)), &effects);
-  TakeEffects(&machine, std::move(effects));
+  ApplyEffects(&machine, std::move(effects));
 }
 
 void World::RunLater(double after, const std::string& name, ProcessEvent event) {
-  At(after, [this, name, life = machines_.at(name).life, event = std::move(event)] {
+  Schedule(after, [this, name, process_number = machines_.at(name).process_number, event = std::move(event)] {
     Machine& machine = machines_.at(name);
-    if (machine.replica && machine.life == life) Run(name, event);
+    if (machine.replica && machine.process_number == process_number) Run(name, event);
   });
 }
 
-void World::Tick(const std::string& name, uint64_t life) {
-  At(kTick, [this, name, life] {
-    if (machines_.at(name).life != life) return;
+void World::Tick(const std::string& name, uint64_t process_number) {
+  Schedule(kTick, [this, name, process_number] {
+    if (machines_.at(name).process_number != process_number) return;
     Run(name, [](Replica* replica, TimePoint clock, Effects* out) { replica->OnTime(clock, out); });
-    Tick(name, life);
+    Tick(name, process_number);
   });
 }
 
-void World::TakeEffects(Machine* machine, Effects effects) {
+void World::ApplyEffects(Machine* machine, Effects effects) {
   rules_.OnEvent(machine->address, *machine->replica, effects);
   for (StoreBatch& batch : effects.stores) {
-    if (options_.told_before_sync && options_.told_before_sync(batch)) {
+    if (options_.reported_before_sync && options_.reported_before_sync(batch)) {
       RunLater(0, machine->address, [number = batch.number](Replica* replica, TimePoint clock, Effects* out) {
         replica->OnStored(clock, number, out);
       });
     }
-    machine->disk.Give(std::move(batch));
+    machine->disk.Enqueue(std::move(batch));
   }
   BeginWriting(machine);
   for (auto& [to, message] : effects.sends) Send(machine->address, to, std::move(message));
-  for (const replication::Completion& ended : effects.completions) EndTicket(machine, ended);
+  for (const replication::Completion& ended : effects.completions) CompleteTicket(machine, ended);
   CheckMachine(machine);
   WakeLater(machine);
-  if (!rules_.broken().empty()) Broken(rules_.broken());
+  if (!rules_.violation().empty()) ReportViolation(rules_.violation());
 }
 
-// As the driver does: OnTime comes with the ticks, and when the replica asks for it.
+// Like the real driver, calls OnTime not only at ticks but also when the replica requests it.
 void World::WakeLater(Machine* machine) {
   std::optional<TimePoint> wake_at = machine->replica->WakeAt();
   std::optional<double> at;
@@ -326,35 +326,35 @@
 
 void World::CheckMachine(Machine* machine) {
   if (HasQuorumContact(*machine) && LacksQuorumContact(*machine)) {
-    Broken(machine->address + " says it is in contact, and has not been for " +
-           std::to_string(replication::kContactTimeout.count()) + " s");
+    ReportViolation(machine->address + " reports quorum contact but has had none for " +
+                    std::to_string(replication::kContactTimeout.count()) + " s");
   }
   CheckNotStale(*machine);
   for (const auto& [number, ticket] : machine->tickets) {
-    if (machine->paused_until > now_ - 1 || now_ <= ticket.asked + kOrderPatience + 2 * kTick) continue;
-    Broken("a call at " + machine->address + " doesn't end");
+    if (machine->paused_until > now_ - 1 || now_ <= ticket.called_at + kCommandTimeout + 2 * kTick) continue;
+    ReportViolation("a call at " + machine->address + " doesn't end");
   }
 }
 
 void World::CheckNotStale(const Machine& machine) {
   if (decided_at_.empty() || decided_at_.back().second < rules_.decided())
     decided_at_.push_back({now_, rules_.decided()});
-  while (decided_at_.size() > 1 && decided_at_[1].first < now_ - kMostStale) decided_at_.pop_front();
+  while (decided_at_.size() > 1 && decided_at_[1].first < now_ - kMaxStaleness) decided_at_.pop_front();
   const auto& [at, revision] = decided_at_.front();
-  if (at >= now_ - kMostStale || machine.replica->revision() >= revision || !HasQuorumContact(machine))
+  if (at >= now_ - kMaxStaleness || machine.replica->revision() >= revision || !HasQuorumContact(machine))
     return;
-  Broken(machine.address + " is in contact and lacks revision " + std::to_string(revision) + ", decided at " +
-         std::to_string(at));
+  ReportViolation(machine.address + " is in contact but lacks revision " + std::to_string(revision) +
+                  ", decided at " + std::to_string(at));
 }
 
-void World::EndTicket(Machine* machine, const replication::Completion& ended) {
+void World::CompleteTicket(Machine* machine, const replication::Completion& ended) {
   auto it = machine->tickets.find(ended.ticket);
   if (it == machine->tickets.end())
-    return Broken("a call at " + machine->address + " ended twice, or was never asked");
+    return ReportViolation("a call at " + machine->address + " ended twice, or was never made");
   Ticket ticket = it->second;
   machine->tickets.erase(it);
   if (ended.outcome == Outcome::kDone && ticket.called_without_contact) {
-    Broken(machine->address + " completed a call that it took out of contact");
+    ReportViolation(machine->address + " completed a call that it received while out of contact");
   }
   if (!ticket.read) {
     rules_.OnCommandCompleted(ticket.command, machine->address, *machine->replica, ended);
@@ -362,7 +362,7 @@
   } else if (ended.outcome == Outcome::kDone) {
     rules_.OnReadEnded(ticket.decided, machine->address, *machine->replica);
   } else if (ended.outcome == Outcome::kRejected) {
-    Broken("a read was refused");
+    ReportViolation("a read was rejected");
   }
 }
 
@@ -374,39 +374,40 @@
 }
 
 void World::BeginWriting(Machine* machine) {
-  if (machine->writing || machine->disk.given() == 0) return;
+  if (machine->writing || machine->disk.queued() == 0) return;
   machine->writing = true;
   machine->writing_since = now_;
-  double least = machine->disk.SyncIsGiven() ? kLeastSync + kSyncJitter * Chance() : kPlainWrite;
+  double least = machine->disk.SyncIsQueued() ? kMinSyncTime + kSyncJitter * Chance() : kUnsyncedWriteTime;
   double done = now_ + least * machine->disk_factor;
-  At(done - now_, [this, name = machine->address, life = machine->life, count = machine->disk.given()] {
-    FinishWriting(name, life, count);
-  });
+  Schedule(done - now_, [this, name = machine->address, process_number = machine->process_number,
+                         count = machine->disk.queued()] { FinishWriting(name, process_number, count); });
 }
 
-void World::FinishWriting(const std::string& name, uint64_t life, size_t count) {
+void World::FinishWriting(const std::string& name, uint64_t process_number, size_t count) {
   Machine& machine = machines_.at(name);
-  if (machine.life != life) return;
+  if (machine.process_number != process_number) return;
   if (machine.disk_blocked_until > now_) {
-    // Looked at again from time to time, as the block may end earlier.
-    At(0.02, [this, name, life, count] { FinishWriting(name, life, count); });
+    // Checked repeatedly, as the hang may end early.
+    Schedule(0.02, [this, name, process_number, count] { FinishWriting(name, process_number, count); });
     return;
   }
   if (machine.store && !WriteToStore(&machine, count)) {
-    At(kWriteRetry, [this, name, life, count] { FinishWriting(name, life, count); });
+    Schedule(kWriteRetry,
+             [this, name, process_number, count] { FinishWriting(name, process_number, count); });
     return;
   }
-  std::set<uint64_t> told;
+  std::set<uint64_t> already_reported;
   for (size_t i = 0; i < count; ++i) {
-    const StoreBatch& batch = machine.disk.given_batches()[i];
-    if (options_.told_before_sync && options_.told_before_sync(batch)) told.insert(batch.number);
+    const StoreBatch& batch = machine.disk.queued_batches()[i];
+    if (options_.reported_before_sync && options_.reported_before_sync(batch))
+      already_reported.insert(batch.number);
   }
   std::vector<uint64_t> numbers = machine.disk.Write(count);
   if (machine.store) machine.disk.SyncAll();
-  rules_.OnDisk();
+  rules_.OnDiskChanged();
   machine.writing = false;
   for (uint64_t number : numbers) {
-    if (told.contains(number)) continue;
+    if (already_reported.contains(number)) continue;
     RunLater(0, name, [number](Replica* replica, TimePoint clock, Effects* out) {
       replica->OnStored(clock, number, out);
     });
@@ -415,9 +416,9 @@
 }
 
 bool World::WriteToStore(Machine* machine, size_t count) {
-  const std::deque<StoreBatch>& given = machine->disk.given_batches();
-  auto end = given.begin() + static_cast<std::ptrdiff_t>(count);
-  return machine->store->Write({given.begin(), end});
+  const std::deque<StoreBatch>& queued = machine->disk.queued_batches();
+  auto end = queued.begin() + static_cast<std::ptrdiff_t>(count);
+  return machine->store->Write({queued.begin(), end});
 }
 
 // Links.
@@ -431,7 +432,7 @@
 }
 
 bool World::Dials(const Machine& from, const std::string& to) const {
-  if (from.met.contains(to)) return true;
+  if (from.connected_before.contains(to)) return true;
   if (std::find(from.seeds.begin(), from.seeds.end(), to) != from.seeds.end()) return true;
   for (const Member& member : from.replica->membership().members) {
     if (member.address == to) return true;
@@ -442,7 +443,7 @@
 void World::DialAll() {
   std::vector<std::string> names;
   for (const auto& [name, machine] : machines_) {
-    // Who is held up for a moment only is connected, and notices when it runs again.
+    // A process that is suspended only briefly is connected and notices when it runs again.
     if (machine.replica && machine.paused_until <= now_ + kShortPause) names.push_back(name);
   }
   for (size_t i = 0; i < names.size(); ++i) {
@@ -452,7 +453,7 @@
       if (dialled && Chance(0.6)) Connect(names[i], names[j]);
     }
   }
-  At(kTick, [this] { DialAll(); });
+  Schedule(kTick, [this] { DialAll(); });
 }
 
 void World::Connect(const std::string& a, const std::string& b) {
@@ -461,7 +462,7 @@
   for (auto [end, peer] : {std::make_pair(a, b), std::make_pair(b, a)}) {
     directions_[{end, peer}].held.clear();
     directions_[{end, peer}].free_at = now_;
-    machines_.at(end).met.insert(peer);
+    machines_.at(end).connected_before.insert(peer);
     if (connection.ends.contains(end)) {
       RunLater(0, end, [peer = peer](Replica* replica, TimePoint clock, Effects* out) {
         replica->OnConnection(clock, peer, false, out);
@@ -475,8 +476,8 @@
   connection.since = now_;
 }
 
-// `machine` notices, unless there is another connection by then, that the one to `peer` has ended.
-void World::TellEnd(const std::string& machine, const std::string& peer, double after) {
+// Lets `machine` notice that its connection to `peer` has ended, unless a new one exists by then.
+void World::NotifyDisconnected(const std::string& machine, const std::string& peer, double after) {
   RunLater(after, machine,
            [this, machine, peer, generation = ConnectionOf(machine, peer).generation](
                Replica* replica, TimePoint clock, Effects* out) {
@@ -493,7 +494,7 @@
   for (auto [end, peer] : {std::make_pair(a, b), std::make_pair(b, a)}) {
     directions_[{end, peer}].held.clear();
     if (machines_.at(end).replica) {
-      TellEnd(end, peer, after);
+      NotifyDisconnected(end, peer, after);
     } else {
       connection.ends.erase(end);
     }
@@ -511,10 +512,12 @@
   directions_[{from, to}].cut = true;
   UpdateContact();
   Connection& connection = ConnectionOf(from, to);
-  At(kPingsNotice, [this, from, to, generation = connection.generation, number = connection.cut_number] {
-    Connection& now = ConnectionOf(from, to);
-    if (now.generation == generation && now.cut_number == number && IsCut(from, to)) Disconnect(from, to, 0);
-  });
+  Schedule(kDeadLinkTimeout,
+           [this, from, to, generation = connection.generation, number = connection.cut_number] {
+             Connection& now = ConnectionOf(from, to);
+             if (now.generation == generation && now.cut_number == number && IsCut(from, to))
+               Disconnect(from, to, 0);
+           });
 }
 
 void World::Cut(const std::string& a, const std::string& b) {
@@ -534,9 +537,11 @@
     auto held = std::move(direction.held);
     direction.held.clear();
     for (auto& message : held) {
-      direction.free_at = std::max(direction.free_at, now_ + kLeastLinkDelay);
-      At(direction.free_at - now_, [this, from = from, to = to, generation = ConnectionOf(a, b).generation,
-                                    message] { Deliver(from, to, generation, message); });
+      direction.free_at = std::max(direction.free_at, now_ + kMinLinkDelay);
+      Schedule(direction.free_at - now_,
+               [this, from = from, to = to, generation = ConnectionOf(a, b).generation, message] {
+                 Deliver(from, to, generation, message);
+               });
     }
   }
   UpdateContact();
@@ -564,19 +569,21 @@
 }
 
 void World::Send(const std::string& from, const std::string& to, PeerMessage message) {
-  if (!machines_.contains(to) || from == to) return Broken(from + " sends to " + to);
+  if (!machines_.contains(to) || from == to) return ReportViolation(from + " sends to " + to);
   Connection& connection = ConnectionOf(from, to);
   if (!connection.Up()) return;
   if (options_.tamper) options_.tamper(from, to, &message);
   const auto* accept = std::get_if<messages::Accept>(&message.body);
-  bool first = accept && accept->change.membership && joins_asked_.try_emplace(accept->revision, now_).second;
+  bool first =
+      accept && accept->change.membership && joins_proposed_.try_emplace(accept->revision, now_).second;
   if (first) CheckCaughtUp(from, *accept->change.membership);
   Direction& direction = directions_[{from, to}];
-  direction.free_at = std::max(direction.free_at,
-                               now_ + kLeastLinkDelay + kLinkJitter * Chance() * Chance() + direction.delay);
+  direction.free_at =
+      std::max(direction.free_at, now_ + kMinLinkDelay + kLinkJitter * Chance() * Chance() + direction.delay);
   auto shared = std::make_shared<const PeerMessage>(std::move(message));
-  At(direction.free_at - now_,
-     [this, from, to, generation = connection.generation, shared] { Deliver(from, to, generation, shared); });
+  Schedule(direction.free_at - now_, [this, from, to, generation = connection.generation, shared] {
+    Deliver(from, to, generation, shared);
+  });
 }
 
 void World::Deliver(const std::string& from, const std::string& to, uint64_t generation,
@@ -593,7 +600,7 @@
   });
 }
 
-// What the world knows of who reaches whom.
+// Reachability, as the simulation knows it.
 
 bool World::Reaches(const Machine& from, const Store& to) const {
   const Machine& target = machines_.at(to.first);
@@ -604,9 +611,9 @@
 void World::UpdateContact() {
   for (auto& [name, machine] : machines_) {
     for (const auto& [other, target] : machines_) {
-      if (target.replica) machine.reached_until.try_emplace({other, target.replica->store_id()}, -kNever);
+      if (target.replica) machine.reachable_until.try_emplace({other, target.replica->store_id()}, -kNever);
     }
-    for (auto& [store, until] : machine.reached_until) {
+    for (auto& [store, until] : machine.reachable_until) {
       if (Reaches(machine, store)) {
         until = kNever;
       } else if (until == kNever) {
@@ -616,11 +623,11 @@
   }
 }
 
-bool World::Answers(const std::string& core, const Member& member) const {
+bool World::IsResponsive(const std::string& core, const Member& member) const {
   const Machine& decider = machines_.at(core);
   const Machine& target = machines_.at(member.address);
-  auto asked = joins_asked_.find(rules_.decided());
-  double since = asked == joins_asked_.end() ? now_ : asked->second;
+  auto proposed = joins_proposed_.find(rules_.decided());
+  double since = proposed == joins_proposed_.end() ? now_ : proposed->second;
   bool connected = core == member.address;
   if (auto it = connections_.find(PairOf(core, member.address)); it != connections_.end()) {
     connected = connected || (it->second.Up() && it->second.since < since);
@@ -629,7 +636,7 @@
     }
   }
   bool hangs = target.writing && now_ > target.writing_since + replication::kContactTimeout.count();
-  bool paused = now_ < std::max(target.paused_until, decider.paused_until) + kHeardWithin;
+  bool paused = now_ < std::max(target.paused_until, decider.paused_until) + kHeartbeatDelay;
   bool waited = now_ + 1e-6 >= since + replication::kJoinTimeout.count();
   return connected && !hangs && !paused && !waited && Reaches(decider, {member.address, member.store_id});
 }
@@ -637,7 +644,7 @@
 void World::CheckCaughtUp(const std::string& proposer, const Membership& next) {
   uint64_t decided = 0;
   for (const auto& [at, revision] : decided_at_) {
-    if (at < now_ - kMostBehind) decided = revision;
+    if (at < now_ - kMaxLearnerLag) decided = revision;
   }
   const std::vector<Member>& standing = machines_.at(proposer).replica->membership().members;
   for (const Member& member : next.members) {
@@ -645,8 +652,8 @@
                              [&](const Member& other) { return other.SameStore(member); });
     const DiskImage* image = FindStore(member, true);
     if (stays || (image && image->state.revision >= decided)) continue;
-    Broken(member.address + " is proposed as a member, and lacks revision " + std::to_string(decided) +
-           " on disk");
+    ReportViolation(member.address + " is proposed as a member but lacks revision " +
+                    std::to_string(decided) + " on disk");
   }
 }
 
@@ -654,8 +661,8 @@
   const Membership& membership = rules_.newest_membership();
   size_t reached = 0;
   for (const Member& member : membership.members) {
-    auto until = machine.reached_until.find({member.address, member.store_id});
-    bool lately = until != machine.reached_until.end() &&
+    auto until = machine.reachable_until.find({member.address, member.store_id});
+    bool lately = until != machine.reachable_until.end() &&
                   until->second + replication::kContactTimeout.count() + 1e-9 >= now_;
     if (lately) ++reached;
   }
@@ -676,7 +683,7 @@
   if (!machine.replica) return;
   uint64_t number = ++last_ticket_;
   Run(name, [this, name, ticket, call, number](Replica* replica, TimePoint clock, Effects* out) mutable {
-    ticket.asked = now_;
+    ticket.called_at = now_;
     ticket.decided = rules_.decided();
     ticket.called_without_contact = LacksQuorumContact(machines_.at(name));
     machines_.at(name).tickets[number] = ticket;
@@ -717,15 +724,15 @@
 
 void World::Prune(const std::string& name, const std::vector<Item>& tombstones) {
   if (!machines_.at(name).replica) return;
-  rules_.OnPruneAsked(tombstones);
+  rules_.OnPruneRequested(tombstones);
   Run(name, [tombstones](Replica* replica, TimePoint clock, Effects* out) {
     replica->Prune(clock, tombstones, out);
   });
 }
 
-// The end of a day.
+// The end of a run.
 
-bool World::Even() const {
+bool World::CopiesAreEqual() const {
   const Machine* first = nullptr;
   for (const auto& [name, machine] : machines_) {
     if (!machine.replica) continue;
@@ -744,7 +751,7 @@
   return first != nullptr;
 }
 
-bool World::MembersRun() const {
+bool World::MembersAreRunning() const {
   const Membership& membership = rules_.newest_membership();
   size_t running = 0;
   for (const auto& [name, machine] : machines_) running += machine.replica ? 1 : 0;
@@ -755,37 +762,39 @@
   return membership.members.size() >= std::min(running, options_.voters);
 }
 
-void World::CheckSettles(double patience) {
-  double deadline = now_ + patience;
-  while (broken_.empty() && !(Even() && MembersRun()) && now_ < deadline) For(kTick);
-  if (broken_.empty() && !Even())
-    return Broken("the copies are not even " + std::to_string(patience) + " s after the troubles");
-  // Whoever paused a moment ago may still lose contact for as long.
-  double calm = now_ + 2 * replication::kContactTimeout.count();
-  while (broken_.empty() && (now_ < calm - replication::kContactTimeout.count() || (!Even() && now_ < calm)))
-    For(kTick);
-  if (broken_.empty() && !MembersRun())
-    return Broken("members are missing " + std::to_string(patience) + " s after the troubles");
+void World::CheckConverges(double timeout) {
+  double deadline = now_ + timeout;
+  while (violation_.empty() && !(CopiesAreEqual() && MembersAreRunning()) && now_ < deadline) RunFor(kTick);
+  if (violation_.empty() && !CopiesAreEqual())
+    return ReportViolation("the copies still differ " + std::to_string(timeout) + " s after the faults");
+  // A core that was suspended shortly before may still lose contact for this long.
+  double end_of_settling = now_ + 2 * replication::kContactTimeout.count();
+  while (violation_.empty() && (now_ < end_of_settling - replication::kContactTimeout.count() ||
+                                (!CopiesAreEqual() && now_ < end_of_settling)))
+    RunFor(kTick);
+  if (violation_.empty() && !MembersAreRunning())
+    return ReportViolation("members are missing " + std::to_string(timeout) + " s after the faults");
   for (const std::string& name : Machines()) {
     if (!Runs(name)) continue;
     size_t confirmed = rules_.confirmed, reads = rules_.reads;
     Write(name, "settled/" + name, 1);
     Read(name);
     double until = now_ + 1;
-    while (broken_.empty() && now_ < until && (rules_.confirmed == confirmed || rules_.reads == reads))
-      For(0.01);
-    if (rules_.confirmed == confirmed) Broken("a calm core confirms no order: " + name);
-    if (rules_.reads == reads) Broken("a calm core answers no read: " + name);
-  }
-  For(1);
-  if (broken_.empty() && !Even()) Broken("the copies are not even when all is calm");
+    while (violation_.empty() && now_ < until && (rules_.confirmed == confirmed || rules_.reads == reads))
+      RunFor(0.01);
+    if (rules_.confirmed == confirmed) ReportViolation("without faults a core confirms no command: " + name);
+    if (rules_.reads == reads) ReportViolation("without faults a core answers no read: " + name);
+  }
+  RunFor(1);
+  if (violation_.empty() && !CopiesAreEqual())
+    ReportViolation("the copies differ although all faults are over");
   for (const std::string& name : Machines()) {
     if (!Runs(name)) continue;
-    rules_.CheckWhole(name, replica(name));
+    rules_.CheckComplete(name, replica(name));
     if (!machines_.at(name).policy->Knows(replica(name).table()))
-      Broken("the owner of the table doesn't know it at " + name);
+      ReportViolation("the table's owner doesn't know all records at " + name);
   }
-  if (!rules_.broken().empty()) Broken(rules_.broken());
+  if (!rules_.violation().empty()) ReportViolation(rules_.violation());
 }
 
 }  // namespace ivygw::control_sim
--- a/tests/system/control_sim.h
+++ b/tests/system/control_sim.h
@@ -1,6 +1,6 @@
-// A simulated network of cores: the very Replica objects on machines whose disks are slow, hang, lose power
-// or are lost, and whose links are slow, cut one way or both, or reset. Seeded; no clock, no sleep. Rules are
-// checked after each event.
+// A simulated network of cores. Runs the real Replica objects on machines whose disks may be slow, hang, lose
+// power or be lost, and whose links may be slow, cut in one or both directions, or reset. Deterministic for a
+// seed, in simulated time. The rules are checked after each event.
 #ifndef IVYGW_TESTS_SYSTEM_CONTROL_SIM_H_
 #define IVYGW_TESTS_SYSTEM_CONTROL_SIM_H_
 
@@ -24,7 +24,7 @@
 
 using replication::PeerMessage;
 
-// An owner of a table, and what it has been told of the records.
+// A table's owner that tracks the records reported to it.
 class SimulatedPolicy : public replication::CommandPolicy {
  public:
   SimulatedPolicy(bool keep_past, size_t max_commands) : keep_past_(keep_past), max_commands_(max_commands) {}
@@ -35,7 +35,7 @@
                                    const replication::TableOverlay& overlay) const override;
   size_t MaxCommandsInChange() const override { return max_commands_; }
 
-  // Whether it has been told of all that stands in the table.
+  // Whether exactly the records of the table have been reported.
   bool Knows(const replication::Table& table) const;
 
  protected:
@@ -55,17 +55,19 @@
   uint64_t seed = 1;
   size_t founders = 3;
   size_t voters = 3;
-  // The store of configuration: confirmed numbers are remembered, one order a change. Else the registry.
+  // true: as the configuration store, which remembers confirmed versions and decides one command per change.
+  // false: as the registry.
   bool keep_past = true;
-  std::function<std::unique_ptr<SimulatedPolicy>()> make_policy;  // none: as above
-  size_t content_size = 0;                                        // at least
-  bool start = true;                                              // all founders at once
-  // Mistakes planted between the parts.
+  std::function<std::unique_ptr<SimulatedPolicy>()> make_policy;  // default: as `keep_past` says
+  size_t content_size = 0;                                        // minimum size of an item's body, bytes
+  bool start = true;                                              // start all founders at once
+  // Faults injected between the components, to test the rules.
   std::function<void(const std::string& from, const std::string& to, PeerMessage* message)> tamper;
-  std::function<bool(const replication::StoreBatch& batch)> told_before_sync;
+  std::function<bool(const replication::StoreBatch& batch)> reported_before_sync;
   bool wiped_keeps_store_id = false;
-  bool stops_when_broken = true;  // else the day goes on, to show where it ends
-  // A real store for a machine's disk; none: the model alone. A store id that it draws is not the seed's.
+  bool stop_on_violation = true;  // else the run continues, to show its final state
+  // Makes a real store for a machine's disk; default: the model only. The store IDs that real stores draw
+  // don't depend on the seed.
   StoreFactory make_store;
 };
 
@@ -73,14 +75,14 @@
  public:
   explicit World(WorldOptions options);
 
-  // What was broken first; empty while all holds.
-  const std::string& broken() const { return broken_; }
-  bool Stops() const { return options_.stops_when_broken && !broken_.empty(); }
+  // The first violation; empty if there is none.
+  const std::string& violation() const { return violation_; }
+  bool ShouldStop() const { return options_.stop_on_violation && !violation_.empty(); }
   Rules& rules() { return rules_; }
   double now() const { return now_; }
-  void Until(double at);
-  void For(double duration) { Until(now_ + duration); }
-  void At(double after, std::function<void()> run) {
+  void RunUntil(double at);
+  void RunFor(double duration) { RunUntil(now_ + duration); }
+  void Schedule(double after, std::function<void()> run) {
     events_.push({now_ + after, last_event_++, std::move(run)});
   }
   double Chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
@@ -88,16 +90,16 @@
   size_t Pick(size_t count) { return std::uniform_int_distribution<size_t>(0, count - 1)(random_); }
 
   // Machines.
-  std::vector<std::string> Machines() const;  // that haven't been removed
-  std::string Any();
+  std::vector<std::string> Machines() const;  // that have not been removed
+  std::string AnyMachine();
   bool HasQuorumContact(const std::string& machine) const { return HasQuorumContact(machines_.at(machine)); }
   bool Runs(const std::string& machine) const { return machines_.at(machine).replica != nullptr; }
   const Replica& replica(const std::string& machine) const { return *machines_.at(machine).replica; }
   size_t MembersAlive(const std::string& machine) const {
-    const Machine& asked = machines_.at(machine);
-    return asked.replica->MembersAlive(TimePointOf(Clock(asked)));
+    const Machine& target = machines_.at(machine);
+    return target.replica->MembersAlive(TimePointOf(Clock(target)));
   }
-  // A machine with an empty disk, not started.
+  // Adds a machine with an empty disk, without starting it.
   std::string AddMachine(std::vector<std::string> seeds);
   void SetSeeds(const std::string& machine, std::vector<std::string> seeds) {
     machines_.at(machine).seeds = std::move(seeds);
@@ -105,10 +107,10 @@
   void Start(const std::string& machine);
   void Kill(const std::string& machine);
   void PowerOff(const std::string& machine);
-  // Power and disk are lost.
+  // The machine loses power, and its disk is replaced by an empty one.
   void Wipe(const std::string& machine);
   void Remove(const std::string& machine);
-  // The process does nothing for a while.
+  // The process is suspended for this time.
   void Pause(const std::string& machine, double duration);
 
   // Links.
@@ -125,29 +127,29 @@
   void HangDisk(const std::string& machine, double duration);
   void SlowDisk(const std::string& machine, double factor) { machines_.at(machine).disk_factor = factor; }
   const SimulatedDisk& disk(const std::string& machine) const { return machines_.at(machine).disk; }
-  // The disk refuses writes, or takes them again. REQUIRES: a real store.
+  // Makes the disk refuse writes, or accept them again. REQUIRES: a real store.
   void RefuseWrites(const std::string& machine, bool refuses) {
     machines_.at(machine).store->Refuse(refuses);
   }
-  // Null where there is the model alone.
+  // Null if there is only the model.
   const StoreOnDisk* store(const std::string& machine) const { return machines_.at(machine).store.get(); }
 
-  // Callers. Contents of orders are unique; `Resend` sends the same order again.
+  // Callers. The contents of commands are unique; `Resend` sends the same command again.
   size_t Write(const std::string& machine, const std::string& key, uint64_t version, bool dropped = false);
   size_t WriteMany(const std::string& machine, const std::vector<std::pair<std::string, uint64_t>>& keys);
   void Resend(size_t command, const std::string& machine);
   void Read(const std::string& machine);
   void Prune(const std::string& machine, const std::vector<Item>& tombstones);
 
-  // All that run hold the same at one revision, on disk, in contact.
-  bool Even() const;
-  // As many members as there should be, each of which runs.
-  bool MembersRun() const;
-  // That all are even and the members are all there within `patience` and then each takes a write and a read;
-  // else what is broken.
-  void CheckSettles(double patience);
+  // Whether all running cores are in contact and have the same revision and records, also on disk.
+  bool CopiesAreEqual() const;
+  // Whether there are as many members as intended, and all of them run.
+  bool MembersAreRunning() const;
+  // Checks that within `timeout` all copies are equal and all members run, and that each core then serves a
+  // write and a read.
+  void CheckConverges(double timeout);
 
-  // Told of each outcome: order, core, outcome.
+  // Called with each command that completes, its core and its outcome.
   std::function<void(size_t command, const std::string& machine, Outcome outcome)> on_command_completed;
 
  private:
@@ -162,8 +164,8 @@
   struct Ticket {
     bool read = false;
     size_t command = 0;
-    uint64_t decided = 0;  // when it was asked
-    double asked = 0;
+    uint64_t decided = 0;  // when the call was made
+    double called_at = 0;
     bool called_without_contact = false;
   };
   using Store = std::pair<std::string, uint64_t>;  // address and store id
@@ -172,23 +174,23 @@
     std::vector<std::string> seeds;
     SimulatedDisk disk;
     std::unique_ptr<StoreOnDisk> store;
-    bool booted = false;  // has started with a store of its own
+    bool booted = false;  // has opened its store before
     std::unique_ptr<SimulatedPolicy> policy;
     std::unique_ptr<Replica> replica;
-    uint64_t life = 0;
+    uint64_t process_number = 0;
     bool removed = false, writing = false;
-    double clock_offset = 0;  // of its steady clock to that of the world
+    double clock_offset = 0;  // of its steady clock from the world's
     double disk_blocked_until = 0, disk_factor = 1, writing_since = 0, paused_until = -1;
-    std::map<Store, double> reached_until;  // kNever: it is reached now
-    double wakes_at = -1;                   // for which OnTime is already due, besides its ticks
-    std::set<std::string> met;              // cores that have connected in this life
+    std::map<Store, double> reachable_until;  // kNever: reachable now
+    double wakes_at = -1;                     // for which an additional OnTime is already scheduled
+    std::set<std::string> connected_before;   // cores that have connected since the process started
     std::map<uint64_t, Ticket> tickets;
   };
   struct Connection {
     uint64_t generation = 0;
     double since = 0;
-    std::set<std::string> ends;  // that hold it to be up
-    uint64_t cut_number = 0;     // grows as cuts are healed
+    std::set<std::string> ends;  // that consider it to be up
+    uint64_t cut_number = 0;     // incremented when a cut is healed
     bool Up() const { return ends.size() == 2; }
   };
   struct Direction {
@@ -197,35 +199,35 @@
     std::deque<std::shared_ptr<const PeerMessage>> held;
   };
 
-  void Broken(const std::string& what);
-  // Printed where IVYGW_TRACE is set, for whoever looks into a seed.
+  void ReportViolation(const std::string& what);
+  // Printed if IVYGW_TRACE is set, to investigate a seed.
   void Trace(const std::string& what) const;
   void TraceMessage(const std::string& from, const std::string& to, const PeerMessage& message) const;
-  const DiskImage* FindStore(const Member& member, bool or_held) const;
+  const DiskImage* FindStore(const Member& member, bool or_last_content) const;
   uint64_t RandomId() { return random_() | 1; }
 
-  // Runs `event` of the machine's process, with its effects, unless that life has ended. `clock`: the
-  // machine's own.
+  // Runs an event in the machine's process and applies its effects. RunLater does nothing if that process has
+  // ended by then. `clock` is the machine's own.
   using ProcessEvent = std::function<void(Replica* replica, TimePoint clock, replication::Effects* out)>;
   void Run(const std::string& machine, const ProcessEvent& event);
   void RunLater(double after, const std::string& machine, ProcessEvent event);
-  void TakeEffects(Machine* machine, replication::Effects effects);
-  void EndTicket(Machine* machine, const replication::Completion& ended);
+  void ApplyEffects(Machine* machine, replication::Effects effects);
+  void CompleteTicket(Machine* machine, const replication::Completion& ended);
   void CheckMachine(Machine* machine);
   void WakeLater(Machine* machine);
-  // That a core which takes calls and gives lists holds what was decided a while ago.
+  // Checks that a core which serves calls and lists has everything decided more than kMaxStaleness ago.
   void CheckNotStale(const Machine& machine);
-  void Tick(const std::string& machine, uint64_t life);
+  void Tick(const std::string& machine, uint64_t process_number);
   std::string NewContent();
   void Call(const std::string& machine, Ticket ticket,
             const std::function<void(Replica*, TimePoint, uint64_t, replication::Effects*)>& call);
 
-  // What the disk holds; none where its store can't be opened now.
+  // Returns the content of the disk, or nullopt if its store can't be opened now.
   std::optional<DiskImage> LoadImage(Machine* machine);
   std::optional<Membership> FoundersOf(const Machine& machine) const;
   void BeginWriting(Machine* machine);
   bool WriteToStore(Machine* machine, size_t count);
-  void FinishWriting(const std::string& machine, uint64_t life, size_t count);
+  void FinishWriting(const std::string& machine, uint64_t process_number, size_t count);
 
   static std::pair<std::string, std::string> PairOf(const std::string& a, const std::string& b) {
     return std::minmax(a, b);
@@ -235,26 +237,27 @@
   bool Dials(const Machine& from, const std::string& to) const;
   void DialAll();
   void Connect(const std::string& a, const std::string& b);
-  void TellEnd(const std::string& machine, const std::string& peer, double after);
+  void NotifyDisconnected(const std::string& machine, const std::string& peer, double after);
   void Disconnect(const std::string& a, const std::string& b, double after);
   void NoticeCut(const std::string& a, const std::string& b);
   void Send(const std::string& from, const std::string& to, PeerMessage message);
   void Deliver(const std::string& from, const std::string& to, uint64_t generation,
                std::shared_ptr<const PeerMessage> message);
-  void EndProcess(Machine* machine, double told_after);
+  void EndProcess(Machine* machine, double notice_delay);
 
   bool Reaches(const Machine& from, const Store& to) const;
-  // That whoever is proposed as a member holds, on disk, what was decided a while ago.
+  // Checks that proposed new members have on disk everything decided more than kMaxLearnerLag ago.
   void CheckCaughtUp(const std::string& proposer, const Membership& next);
-  // In touch ever since its joining was proposed, not longer ago than the members wait, and its disk takes
-  // what it is given.
-  bool Answers(const std::string& core, const Member& member) const;
+  // Whether the member has been in contact with the core ever since its joining was proposed, that was less
+  // than kJoinTimeout ago, and its disk doesn't hang.
+  bool IsResponsive(const std::string& core, const Member& member) const;
   double Clock(const Machine& machine) const { return now_ + machine.clock_offset; }
   bool HasQuorumContact(const Machine& machine) const {
     return machine.replica->HasQuorumContact(TimePointOf(Clock(machine)));
   }
   void UpdateContact();
-  // Fewer than a majority of the newest epoch could be reached at any time of the last second.
+  // Whether fewer than a majority of the newest epoch's members were reachable within the last
+  // kContactTimeout.
   bool LacksQuorumContact(const Machine& machine) const;
 
   const WorldOptions options_;
@@ -263,16 +266,16 @@
   std::mt19937_64 random_;
   std::map<std::string, Machine> machines_;
   std::deque<std::pair<double, uint64_t>>
-      decided_at_;                          // times and revisions, of the last kMostStale and one before
-  std::map<uint64_t, double> joins_asked_;  // when a change of members was first proposed, by revision
-  std::map<Store, DiskImage> lost_stores_;  // what they held at last
+      decided_at_;  // times and revisions within the last kMaxStaleness, and one before that
+  std::map<uint64_t, double> joins_proposed_;  // when a membership change was first proposed, by revision
+  std::map<Store, DiskImage> lost_stores_;     // last content of lost disks
   std::map<std::pair<std::string, std::string>, Connection> connections_;
   std::map<std::pair<std::string, std::string>, Direction> directions_;
   std::priority_queue<Event> events_;
   Rules rules_;
   double now_ = 0;
   uint64_t last_event_ = 0, last_ticket_ = 0, last_content_ = 0;
-  std::string broken_;
+  std::string violation_;
 };
 
 }  // namespace ivygw::control_sim
--- a/tests/system/control_stores.h
+++ b/tests/system/control_stores.h
@@ -1,5 +1,5 @@
-// What the simulated machines of a test program have on their disks: the model alone, or real stores too. A
-// program links one of control_stores_*.cpp.
+// The disks of the simulated machines of a test program: the model only, or real stores as well. A program
+// links one of control_stores_*.cpp.
 #ifndef IVYGW_TESTS_SYSTEM_CONTROL_STORES_H_
 #define IVYGW_TESTS_SYSTEM_CONTROL_STORES_H_
 
@@ -9,7 +9,7 @@
 
 namespace ivygw::control_sim {
 
-StoreFactory StoresOfThisProgram(uint64_t seed);
+StoreFactory MakeStoreFactory(uint64_t seed);
 
 }  // namespace ivygw::control_sim
 
--- a/tests/system/control_stores_model.cpp
+++ b/tests/system/control_stores_model.cpp
@@ -2,6 +2,6 @@
 
 namespace ivygw::control_sim {
 
-StoreFactory StoresOfThisProgram(uint64_t) { return {}; }
+StoreFactory MakeStoreFactory(uint64_t) { return {}; }
 
 }  // namespace ivygw::control_sim
--- a/tests/system/control_stores_real.cpp
+++ b/tests/system/control_stores_real.cpp
@@ -3,8 +3,8 @@
 
 namespace ivygw::control_sim {
 
-StoreFactory StoresOfThisProgram(uint64_t seed) {
-  return StoredDisks(seed, {.loses_names = true, .tears_writes = true});
+StoreFactory MakeStoreFactory(uint64_t seed) {
+  return StoredDiskFactory(seed, {.loses_names = true, .tears_writes = true});
 }
 
 }  // namespace ivygw::control_sim
--- a/tests/system/control_test.cpp
+++ b/tests/system/control_test.cpp
@@ -1,5 +1,5 @@
-// A replicated table under the operators' worst days: orders, members and contact, on a simulated network;
-// and that the rules find the mistakes that they are for.
+// Randomized tests of a replicated table under faults, on a simulated network: commands, membership and
+// quorum contact. Further tests inject mistakes to show that the rules detect them.
 
 #include <cstdio>
 #include <utility>
@@ -8,63 +8,65 @@
 #include "system/control_operators.h"
 #include "system/control_stores.h"
 
-#include <CppUTest/TestHarness.h>  // after all others: it names new anew
+#include <CppUTest/TestHarness.h>  // must be last: it redefines new
 
 using namespace ivygw;
 using namespace ivygw::control_sim;
 
 namespace {
 
-constexpr double kSyncTime = 4;  // s, for a new machine to be a member
-constexpr double kSettled = 3;   // s, for all to be even once troubles are over
+constexpr double kJoinTime = 4;            // s, for a new machine to become a member
+constexpr double kConvergenceTimeout = 3;  // s, for all copies to be equal after the last fault
 
 struct Tally {
-  size_t confirmed = 0, refused = 0, unclear = 0, not_taken = 0, reads = 0, revisions = 0;
+  size_t confirmed = 0, rejected = 0, indeterminate = 0, not_done = 0, reads = 0, revisions = 0;
 };
 
-// A day: troubles while operators act, then calm. Empty, or what is broken.
-using Troubles = void (*)(World* world);
+// A function that injects faults. RunScenario runs it while operators act, then ends all faults and checks
+// that the copies converge; it returns the first violation or an empty string.
+using Scenario = void (*)(World* world);
 
-std::string RunDay(const WorldOptions& options, Troubles troubles, Tally* tally = nullptr,
-                   double pause = 0.04) {
+std::string RunScenario(const WorldOptions& options, Scenario scenario, Tally* tally = nullptr,
+                        double pause = 0.04) {
   World world(options);
   Operators operators(&world, options.keep_past, pause);
-  world.Until(0.6);
-  troubles(&world);
+  world.RunUntil(0.6);
+  scenario(&world);
   operators.Stop();
   world.HealAll();
-  world.CheckSettles(kSettled);
+  world.CheckConverges(kConvergenceTimeout);
   if (tally) {
     const Rules& rules = world.rules();
     tally->confirmed += rules.confirmed;
-    tally->refused += rules.refused;
-    tally->unclear += rules.unclear;
-    tally->not_taken += rules.not_taken;
+    tally->rejected += rules.rejected;
+    tally->indeterminate += rules.indeterminate;
+    tally->not_done += rules.not_done;
     tally->reads += rules.reads;
     tally->revisions += rules.decided();
   }
-  return world.broken();
+  return world.violation();
 }
 
-void RunDays(const char* name, Troubles troubles, size_t seeds, WorldOptions options = {}) {
+void RunScenarios(const char* name, Scenario scenario, size_t seeds, WorldOptions options = {}) {
   Tally tally;
-  const char* told = std::getenv("IVYGW_SEED");  // for whoever looks into one
-  size_t only = told ? std::strtoul(told, nullptr, 10) : 0;
+  const char* value = std::getenv("IVYGW_SEED");  // to investigate a single seed
+  size_t only = value ? std::strtoul(value, nullptr, 10) : 0;
   for (size_t seed = std::max<size_t>(only, 1); seed <= (only ? only : seeds); ++seed) {
     options.seed = seed;
-    options.make_store = StoresOfThisProgram(seed);
-    std::string broken = RunDay(options, troubles, &tally);
-    if (!broken.empty()) FAIL(("seed " + std::to_string(seed) + " " + broken).c_str());
+    options.make_store = MakeStoreFactory(seed);
+    std::string violation = RunScenario(options, scenario, &tally);
+    if (!violation.empty()) FAIL(("seed " + std::to_string(seed) + " " + violation).c_str());
   }
   std::printf(
-      "\n%s: %zu seeds, %zu revisions; orders done %zu, refused %zu, unclear %zu, not taken %zu; reads %zu",
-      name, seeds, tally.revisions, tally.confirmed, tally.refused, tally.unclear, tally.not_taken,
+      "\n%s: %zu seeds, %zu revisions; commands done %zu, rejected %zu, indeterminate %zu, not done %zu; "
+      "reads %zu",
+      name, seeds, tally.revisions, tally.confirmed, tally.rejected, tally.indeterminate, tally.not_done,
       tally.reads);
-  CHECK(tally.confirmed > 10 * seeds);  // and it did take orders
+  CHECK(tally.confirmed > 10 * seeds);  // and commands were served meanwhile
   CHECK(tally.reads > 5 * seeds);
 }
 
-// The machine whose disk is lost, until its place is taken by one that holds all.
+// Tracks a lost disk until the machine is a member again with everything on its new disk.
 class LostDisk {
  public:
   explicit LostDisk(World* world) : world_(*world) {}
@@ -72,7 +74,7 @@
     world_.Wipe(machine);
     lost_ = machine;
   }
-  bool Any() {
+  bool IsMissing() {
     if (!lost_.empty() && HoldsItsPlace()) lost_.clear();
     return !lost_.empty();
   }
@@ -90,36 +92,36 @@
   std::string lost_;
 };
 
-void AnyTrouble(World* world, LostDisk* lost) {
+void InjectRandomFault(World* world, LostDisk* lost) {
   World& w = *world;
-  std::string machine = w.Any();
+  std::string machine = w.AnyMachine();
   switch (w.Pick(12)) {
     case 0: w.Kill(machine); break;
     case 1: w.PowerOff(machine); break;
     case 2:
-      if (lost->Any()) break;
+      if (lost->IsMissing()) break;
       lost->Lose(machine);
       if (!w.Chance(0.4)) break;
       for (const std::string& other : w.Machines()) w.PowerOff(other);
       break;
-    case 3: w.Cut(machine, w.Any()); break;
-    case 4: w.CutOneWay(machine, w.Any()); break;
+    case 3: w.Cut(machine, w.AnyMachine()); break;
+    case 4: w.CutOneWay(machine, w.AnyMachine()); break;
     case 5: w.Isolate(machine); break;
     case 6: w.Rejoin(machine); break;
     case 7: w.HangDisk(machine, w.Chance(0.9) ? 2 * w.Chance() : 100); break;
     case 8: w.SlowDisk(machine, w.Chance(0.5) ? 1 : 20); break;
-    case 9: w.Slow(machine, w.Any(), 0.1 * w.Chance()); break;
-    case 10: w.Reset(machine, w.Any()); break;
+    case 9: w.Slow(machine, w.AnyMachine(), 0.1 * w.Chance()); break;
+    case 10: w.Reset(machine, w.AnyMachine()); break;
     case 11: w.Pause(machine, 1.5 * w.Chance()); break;
   }
 }
 
-void MixedTroubles(World* world) {
+void MixedFaults(World* world) {
   LostDisk lost(world);
-  for (int step = 0; step < 50 && world->broken().empty(); ++step) {
-    world->For(0.25 * world->Chance());
-    AnyTrouble(world, &lost);
-    if (world->Chance(0.4)) world->Rejoin(world->Any());
+  for (int step = 0; step < 50 && world->violation().empty(); ++step) {
+    world->RunFor(0.25 * world->Chance());
+    InjectRandomFault(world, &lost);
+    if (world->Chance(0.4)) world->Rejoin(world->AnyMachine());
     for (const std::string& name : world->Machines()) {
       if (!world->Runs(name) && world->Chance(0.5)) world->Start(name);
     }
@@ -127,34 +129,34 @@
 }
 
 void CutOffFor20s(World* world) {
-  std::string cut = world->Any();
+  std::string cut = world->AnyMachine();
   world->Isolate(cut);
-  world->For(20);
+  world->RunFor(20);
   world->Rejoin(cut);
-  world->For(0.3);
+  world->RunFor(0.3);
 }
 
-// The core that confirms loses its disk, and all others their power.
+// The core that confirms a command loses its disk, and all others lose power.
 void WipedAfterAnAcknowledgement(World* world) {
-  for (int round = 0; round < 4 && world->broken().empty(); ++round) {
+  for (int round = 0; round < 4 && world->violation().empty(); ++round) {
     std::string confirmed_by;
     world->on_command_completed = [&](size_t, const std::string& machine, Outcome outcome) {
       if (outcome == Outcome::kDone && confirmed_by.empty()) confirmed_by = machine;
     };
-    while (confirmed_by.empty() && world->broken().empty()) world->For(0.001);
+    while (confirmed_by.empty() && world->violation().empty()) world->RunFor(0.001);
     world->on_command_completed = nullptr;
-    world->For(0.010 * world->Chance());
+    world->RunFor(0.010 * world->Chance());
     world->Wipe(confirmed_by);
     for (const std::string& other : world->Machines()) world->PowerOff(other);
-    world->For(0.3);
+    world->RunFor(0.3);
     for (const std::string& other : world->Machines()) world->Start(other);
-    world->For(3.5);
+    world->RunFor(3.5);
     if (!world->replica(confirmed_by).IsMember())
-      world->rules().Broken(confirmed_by + " is no member 3.5 s after its start");
+      world->rules().ReportViolation(confirmed_by + " is not a member 3.5 s after its start");
   }
 }
 
-// All machines that run or have a disk, those that vote before the others.
+// All machines that have not been removed, voting members first.
 std::vector<std::string> VotersFirst(World& world) {
   std::vector<std::string> machines = world.Machines();
   const Membership membership = world.rules().newest_membership();
@@ -165,117 +167,118 @@
   return machines;
 }
 
-// At the moment of an acknowledgement as many disks are lost as may be, and every other core loses power.
-// They come back in an order drawn anew each time. What was acknowledged must be there.
+// At the moment of an acknowledgement the maximum tolerated number of disks is lost, and every other core
+// loses power. The cores restart in random order. What was acknowledged must have survived.
 void LoseDisksAndPower(World* world, size_t rounds, size_t may_be_lost) {
-  for (size_t round = 0; round < rounds && world->broken().empty(); ++round) {
+  for (size_t round = 0; round < rounds && world->violation().empty(); ++round) {
     std::string confirmed_by;
     world->on_command_completed = [&](size_t, const std::string& machine, Outcome outcome) {
       if (outcome != Outcome::kDone || !confirmed_by.empty()) return;
       confirmed_by = machine;
-      world->At(0, [world, machine, may_be_lost] {
+      world->Schedule(0, [world, machine, may_be_lost] {
         std::vector<std::string> machines = VotersFirst(*world);
         std::swap(*std::find(machines.begin(), machines.end(), machine), machines.front());
-        // The core that acknowledged is among those that lose their disks, or is not.
+        // Mostly the core that acknowledged is among those that lose their disks.
         if (world->Chance(0.4)) std::swap(machines.front(), machines.back());
         for (size_t i = 0; i < machines.size(); ++i) {
           i < may_be_lost ? world->Wipe(machines[i]) : world->PowerOff(machines[i]);
         }
       });
     };
-    while (confirmed_by.empty() && world->broken().empty()) world->For(0.001);
+    while (confirmed_by.empty() && world->violation().empty()) world->RunFor(0.001);
     world->on_command_completed = nullptr;
-    world->For(0.1 + 0.4 * world->Chance());
+    world->RunFor(0.1 + 0.4 * world->Chance());
     std::vector<std::string> order = world->Machines();
     for (size_t i = order.size(); i > 1; --i) std::swap(order[i - 1], order[world->Pick(i)]);
     for (const std::string& machine : order) {
       world->Start(machine);
-      if (world->Chance(0.7)) world->For(0.8 * world->Chance());
+      if (world->Chance(0.7)) world->RunFor(0.8 * world->Chance());
     }
-    world->For(4);
+    world->RunFor(4);
   }
 }
 
 void DisksLostAndPowerOff(World* world) { LoseDisksAndPower(world, 3, (world->Machines().size() - 1) / 2); }
 
-// Three cores found the system, and as many more as the loss of two disks asks for become members.
+// Three cores found the system, and more become members, to tolerate the loss of two disks.
 void DisksOfAddedVotersLost(World* world) {
   std::vector<std::string> seeds = world->Machines();
   for (int i = 0; i < 4; ++i) world->Start(world->AddMachine(seeds));
-  world->For(kSyncTime);
-  if (!world->broken().empty()) return;
+  world->RunFor(kJoinTime);
+  if (!world->violation().empty()) return;
   size_t members = world->rules().newest_membership().members.size();
   if (members != replication::VotersToTolerate(2))
-    world->rules().Broken(std::to_string(members) + " members where two disks may be lost");
+    world->rules().ReportViolation(std::to_string(members) + " members although two disks may be lost");
   LoseDisksAndPower(world, 2, 2);
 }
 
-bool HasMembers(const World& world, const std::string& asked, size_t count, const std::string& with) {
-  const Membership& membership = world.replica(asked).membership();
+bool HasMembers(const World& world, const std::string& core, size_t count, const std::string& with) {
+  const Membership& membership = world.replica(core).membership();
   bool there = false;
   for (const Member& member : membership.members) there = there || member.address == with;
   return there && membership.members.size() == count;
 }
 
-// The operators' rule: a machine that takes another's place is a member within the time to sync.
+// A machine that replaces another must become a member within kJoinTime.
 std::string Replace(World* world, const std::string& gone, const std::vector<std::string>& seeds) {
   size_t voters = world->rules().newest_membership().members.size();
   world->Remove(gone);
   std::string added = world->AddMachine(seeds);
   world->Start(added);
-  world->For(kSyncTime);
-  if (world->broken().empty() && !HasMembers(*world, added, voters, added)) {
-    world->rules().Broken(added + " is no member " + std::to_string(kSyncTime) + " s after its start");
+  world->RunFor(kJoinTime);
+  if (world->violation().empty() && !HasMembers(*world, added, voters, added)) {
+    world->rules().ReportViolation(added + " is not a member " + std::to_string(kJoinTime) +
+                                   " s after its start");
   }
   return added;
 }
 
 void ReplacementsInTurn(World* world) {
-  for (int round = 0; round < 3 && world->broken().empty(); ++round) {
+  for (int round = 0; round < 3 && world->violation().empty(); ++round) {
     std::vector<std::string> seeds = world->Machines();
-    Replace(world, world->Any(), seeds);
+    Replace(world, world->AnyMachine(), seeds);
   }
 }
 
-// A second machine is lost just when the time to sync has passed, and is not replaced for a while.
+// A second machine is lost as soon as kJoinTime has passed, and is not replaced for a while.
 void SecondLossAfterReplacement(World* world) {
-  std::string first = world->Any();
+  std::string first = world->AnyMachine();
   std::string added = Replace(world, first, world->Machines());
   std::string second;
-  while (second.empty() || second == added) second = world->Any();
+  while (second.empty() || second == added) second = world->AnyMachine();
   world->Remove(second);
-  world->For(1.2);
+  world->RunFor(1.2);
   size_t confirmed = world->rules().confirmed;
-  world->For(1.5);
-  if (world->broken().empty() && world->rules().confirmed == confirmed)
-    world->rules().Broken("no order is taken after a second loss");
+  world->RunFor(1.5);
+  if (world->violation().empty() && world->rules().confirmed == confirmed)
+    world->rules().ReportViolation("no command is confirmed after a second loss");
   std::string third = world->AddMachine(world->Machines());
   world->Start(third);
-  world->For(kSyncTime);
-  if (world->broken().empty() && !HasMembers(*world, third, 3, third))
-    world->rules().Broken("three aren't three again");
+  world->RunFor(kJoinTime);
+  if (world->violation().empty() && !HasMembers(*world, third, 3, third))
+    world->rules().ReportViolation("the third member has not been replaced");
 }
 
-// A member is away, its place is taken, and it comes back with the disk that it had.
+// A member loses power and is replaced. Returns the member, which may come back with its old disk.
 std::string LeaveAndBeReplaced(World* world) {
   std::string away;
-  while (away.empty() || !world->Runs(away)) away = world->Any();
+  while (away.empty() || !world->Runs(away)) away = world->AnyMachine();
   std::vector<std::string> seeds = world->Machines();
   world->PowerOff(away);
   std::string added = world->AddMachine(seeds);
   world->Start(added);
-  world->For(kSyncTime);
-  if (world->broken().empty() && !HasMembers(*world, added, 3, added))
-    world->rules().Broken(added + " has not taken the place");
+  world->RunFor(kJoinTime);
+  if (world->violation().empty() && !HasMembers(*world, added, 3, added))
+    world->rules().ReportViolation(added + " has not become a member");
   return away;
 }
 
 void ReplacedMemberReturns(World* world) {
   std::string away = LeaveAndBeReplaced(world);
   world->Start(away);
-  world->For(2);
-  if (world->broken().empty() && world->replica(away).IsMember())
-    world->rules().Broken(away + " was replaced, and votes");
+  world->RunFor(2);
+  if (world->violation().empty() && world->replica(away).IsMember())
+    world->rules().ReportViolation(away + " was replaced but is still a member");
 }
 
 void TwoReplacedMembersMeet(World* world) {
@@ -285,13 +288,14 @@
   world->Heal(first, second);
   world->Start(first);
   world->Start(second);
-  world->For(6);
+  world->RunFor(6);
 }
 
-// A member is replaced since one other doesn't reach it, though a third does. Just then it and the third are
-// cut from the others, who go on: what it reads from the third is of the epoch before.
+// A member is replaced because one other can't reach it, although a third can. Right then the replaced member
+// and the third are cut off from the others, which go on. A read at the replaced member must not rely on the
+// third, which is still in the previous epoch.
 void ReplacedAndStillReached(World* world) {
-  for (int round = 0; round < 3 && world->broken().empty(); ++round) {
+  for (int round = 0; round < 3 && world->violation().empty(); ++round) {
     std::vector<std::string> names;
     for (const Member& member : world->rules().newest_membership().members) names.push_back(member.address);
     std::shuffle(names.begin(), names.end(), std::mt19937_64(world->Pick(1000000)));
@@ -301,34 +305,34 @@
     world->Cut(replaced, proposer);
     uint64_t epoch = world->rules().newest_membership().epoch;
     double until = world->now() + 6;
-    while (world->now() < until && world->broken().empty() &&
+    while (world->now() < until && world->violation().empty() &&
            world->rules().newest_membership().epoch == epoch)
-      world->For(0.0005);
-    while (world->now() < until && world->broken().empty() &&
+      world->RunFor(0.0005);
+    while (world->now() < until && world->violation().empty() &&
            world->replica(third).membership().epoch == epoch)
-      world->For(0.0002);
+      world->RunFor(0.0002);
     for (const std::string& other : world->Machines()) {
       if (other == replaced || other == third) continue;
       world->Cut(other, replaced);
       world->Cut(other, third);
     }
     uint64_t decided = world->rules().decided();
-    for (int i = 0; i < 60 && world->broken().empty(); ++i) {
+    for (int i = 0; i < 60 && world->violation().empty(); ++i) {
       world->Write(proposer, "behind/a", static_cast<uint64_t>(60 * round + i + 1));
-      world->For(0.002);
+      world->RunFor(0.002);
       if (world->rules().decided() > decided) world->Read(replaced);
     }
     world->HealAll();
-    world->For(1.5);
+    world->RunFor(1.5);
   }
 }
 
-// A new machine whose seeds are gone, or cut off with it.
+// A new machine whose seeds have been removed or are cut off together with it.
 void SeedsThatAreGone(World* world) {
-  std::string gone = world->Any();
+  std::string gone = world->AnyMachine();
   std::vector<std::string> all = world->Machines();
   Replace(world, gone, all);
-  std::string cut = world->Any();
+  std::string cut = world->AnyMachine();
   world->Isolate(cut);
   std::string added = world->AddMachine({gone, cut});
   for (const std::string& other : world->Machines()) {
@@ -336,58 +340,59 @@
   }
   world->Heal(added, cut);
   world->Start(added);
-  world->For(4);
-  if (!world->broken().empty()) return;
-  if (world->HasQuorumContact(added)) world->rules().Broken(added + " knows none but one cut-off core");
+  world->RunFor(4);
+  if (!world->violation().empty()) return;
+  if (world->HasQuorumContact(added))
+    world->rules().ReportViolation(added + " has quorum contact although it reaches only one cut-off core");
   if (HasMembers(*world, added, 3, added))
-    world->rules().Broken(added + " became a member through a cut-off core");
+    world->rules().ReportViolation(added + " became a member through a cut-off core");
 }
 
-// All lose their power in the middle of a change of members.
+// All cores lose power in the middle of a membership change.
 void AllKilledWhileMembersChange(World* world) {
-  for (int round = 0; round < 3 && world->broken().empty(); ++round) {
-    world->Remove(world->Any());
+  for (int round = 0; round < 3 && world->violation().empty(); ++round) {
+    world->Remove(world->AnyMachine());
     std::string added = world->AddMachine(world->Machines());
     world->Start(added);
     uint64_t epoch = world->rules().newest_membership().epoch;
     double until = world->now() + 1.9 + 0.6 * world->Chance();
     bool at_the_change = world->Chance(0.5);
-    while (world->now() < until && world->broken().empty() &&
+    while (world->now() < until && world->violation().empty() &&
            !(at_the_change && world->rules().newest_membership().epoch != epoch)) {
-      world->For(0.0005);
+      world->RunFor(0.0005);
     }
     for (const std::string& name : world->Machines()) world->PowerOff(name);
-    world->For(0.2);
+    world->RunFor(0.2);
     for (const std::string& name : world->Machines()) world->Start(name);
-    world->For(5.5);
-    if (world->broken().empty() && !HasMembers(*world, added, 3, added))
-      world->rules().Broken(added + " has not taken the place");
+    world->RunFor(5.5);
+    if (world->violation().empty() && !HasMembers(*world, added, 3, added))
+      world->rules().ReportViolation(added + " has not become a member");
   }
 }
 
-// The first start, in any order, with one core late.
+// The first start, in random order, with one core late.
 void FirstStart(World* world) {
   std::vector<std::string> names = world->Machines();
   std::shuffle(names.begin(), names.end(), std::mt19937_64(world->Pick(1000000)));
   for (size_t i = 0; i + 1 < names.size(); ++i) {
     world->Start(names[i]);
-    world->For(0.5 * world->Chance());
+    world->RunFor(0.5 * world->Chance());
   }
-  world->For(3);
+  world->RunFor(3);
   world->Start(names.back());
-  world->For(1);
+  world->RunFor(1);
 }
 
-// Two operators under one number, while the core between them or one of theirs is in trouble; each order is
-// sent again everywhere.
-void TwoOperatorsInTrouble(World* world) {
-  for (int round = 0; round < 25 && world->broken().empty(); ++round) {
+// Two operators use the same version at two cores while a fault hits any core. Then each command is sent
+// again to every core.
+void TwoOperatorsDuringFaults(World* world) {
+  for (int round = 0; round < 25 && world->violation().empty(); ++round) {
     std::vector<std::string> names = world->Machines();
     std::shuffle(names.begin(), names.end(), std::mt19937_64(world->Pick(1000000)));
     std::string key = "race/" + std::to_string(round % 2), hit = names[world->Pick(names.size())];
     uint64_t version = static_cast<uint64_t>(round) + 1;
     size_t first = world->Write(names[0], key, version), second = world->Write(names[1], key, version);
-    world->For(0.012 * world->Chance());
+    world->RunFor(0.012 * world->Chance());
     switch (world->Pick(5)) {
       case 0: world->Isolate(hit); break;
       case 1: world->Kill(hit); break;
@@ -395,36 +400,35 @@
       case 3: world->HangDisk(hit, 0.5); break;
       case 4: world->Pause(hit, 0.5); break;
     }
-    world->For(0.1 + 0.5 * world->Chance());
+    world->RunFor(0.1 + 0.5 * world->Chance());
     world->Start(hit);
     world->Rejoin(hit);
-    world->For(0.3);
+    world->RunFor(0.3);
     for (const std::string& name : names) {
       world->Resend(first, name);
       world->Resend(second, name);
     }
-    world->For(0.2);
+    world->RunFor(0.2);
   }
 }
 
-// Two cores that don't reach each other propose by turns through a third, which loses its power again and
-// again.
+// Two cores that can't reach each other propose in turn through a third, which repeatedly loses power.
 void HubLosesPower(World* world) {
   std::vector<std::string> names = world->Machines();
   std::shuffle(names.begin(), names.end(), std::mt19937_64(world->Pick(1000000)));
   world->Cut(names[0], names[1]);
   world->SlowDisk(names[2], 10);
-  for (int i = 0; i < 150 && world->broken().empty(); ++i) {
+  for (int i = 0; i < 150 && world->violation().empty(); ++i) {
     for (size_t at : {0, 1})
       world->Write(names[at], "hub/" + std::to_string(at), static_cast<uint64_t>(i) + 1);
-    world->For(0.06 * world->Chance());
+    world->RunFor(0.06 * world->Chance());
     if (world->Chance(0.5)) world->PowerOff(names[2]);
     world->Start(names[2]);
-    world->For(0.1 * world->Chance());
+    world->RunFor(0.1 * world->Chance());
   }
 }
 
-// A disk is lost, and catching up takes seconds: the table is large and the links to that core are slow.
+// A disk is lost, and catch-up takes seconds, as the table is large and the links to that core are slow.
 void SlowLearner(World* world) {
   std::string slow = "10.0.0.3";
   uint64_t version = 0;
@@ -433,45 +437,44 @@
     for (int key = 0; key < 4; ++key)
       keys.emplace_back("large/" + std::to_string(4 * round + key), ++version);
     world->WriteMany("10.0.0.1", keys);
-    world->For(0.05);
+    world->RunFor(0.05);
   }
   world->Wipe(slow);
   world->Start(slow);
   for (const std::string& other : world->Machines()) world->Slow(slow, other, 0.1);
-  world->For(8);
-  if (world->broken().empty() && !world->replica(slow).IsMember())
-    world->rules().Broken(slow + " is no member after 8 s");
+  world->RunFor(8);
+  if (world->violation().empty() && !world->replica(slow).IsMember())
+    world->rules().ReportViolation(slow + " is not a member after 8 s");
 }
 
-// One core is cut off and misses changes; one of the others loses its disk and is back; the last one loses
-// its power for a while, and the cut heals meanwhile.
+// One core is cut off and misses changes. Another loses its disk and restarts. The third loses power for a
+// while, during which the cut heals.
 void CutOffWhileADiskIsLost(World* world) {
-  for (int round = 0; round < 3 && world->broken().empty(); ++round) {
+  for (int round = 0; round < 3 && world->violation().empty(); ++round) {
     std::vector<std::string> names = world->Machines();
     for (size_t i = names.size(); i > 1; --i) std::swap(names[i - 1], names[world->Pick(i)]);
-    const std::string &behind = names[0], &wiped = names[1], &dark = names[2];
+    const std::string &behind = names[0], &wiped = names[1], &powered_off = names[2];
     world->Isolate(behind);
-    world->For(1 + 3 * world->Chance());
+    world->RunFor(1 + 3 * world->Chance());
     world->Wipe(wiped);
-    world->For(1.2 * world->Chance());
+    world->RunFor(1.2 * world->Chance());
     world->Start(wiped);
-    world->For(0.8 * world->Chance());
-    world->PowerOff(dark);
-    world->For(0.7 * world->Chance());
+    world->RunFor(0.8 * world->Chance());
+    world->PowerOff(powered_off);
+    world->RunFor(0.7 * world->Chance());
     world->Rejoin(behind);
-    world->For(4 * world->Chance());
-    world->Start(dark);
-    world->For(3);
-    if (!world->broken().empty()) return;
+    world->RunFor(4 * world->Chance());
+    world->Start(powered_off);
+    world->RunFor(3);
+    if (!world->violation().empty()) return;
     for (const std::string& name : names) {
       if (!world->HasQuorumContact(name))
-        world->rules().Broken(name + " has no quorum contact 3 s after all are back");
+        world->rules().ReportViolation(name + " has no quorum contact 3 s after all are back");
     }
   }
 }
 
-// The processor share of each core is a quota: it runs until that is spent, then does nothing for the rest of
-// a tenth of a second.
+// Simulates a CPU quota: each core runs for its share of every 100 ms and is suspended for the rest.
 class ProcessorQuota {
  public:
   ProcessorQuota(World* world, double share) : world_(world), share_(share) {
@@ -482,10 +485,10 @@
  private:
   static constexpr double kPeriod = 0.1;
   void Next(const std::string& name) {
-    world_->At(kPeriod * share_, [this, name] {
+    world_->Schedule(kPeriod * share_, [this, name] {
       if (stopped_) return;
       world_->Pause(name, kPeriod * (1 - share_));
-      world_->At(kPeriod * (1 - share_), [this, name] { Next(name); });
+      world_->Schedule(kPeriod * (1 - share_), [this, name] { Next(name); });
     });
   }
 
@@ -498,21 +501,21 @@
   ProcessorQuota quota(world, 0.2);
   CutOffWhileADiskIsLost(world);
   quota.Stop();
-  world->For(0.2);
+  world->RunFor(0.2);
 }
 
-// Several rounds in which a core dies between the phases of a proposal.
+// In each round a core dies between the phases of a proposal.
 void ProposersDie(World* world) {
-  for (int round = 0; round < 30 && world->broken().empty(); ++round) {
-    std::string machine = world->Any();
+  for (int round = 0; round < 30 && world->violation().empty(); ++round) {
+    std::string machine = world->AnyMachine();
     world->Write(machine, "died/" + std::to_string(round % 3), static_cast<uint64_t>(round) + 1);
-    world->For(0.012 * world->Chance());
+    world->RunFor(0.012 * world->Chance());
     if (world->Chance(0.5)) {
       world->PowerOff(machine);
     } else {
       world->Kill(machine);
     }
-    world->For(0.3 * world->Chance());
+    world->RunFor(0.3 * world->Chance());
     world->Start(machine);
   }
 }
@@ -521,193 +524,199 @@
 
 TEST_GROUP(Control){};
 
-TEST(Control, MixedTroublesStore) { RunDays("mixed troubles, store", MixedTroubles, Seeds()); }
+TEST(Control, MixedTroublesStore) { RunScenarios("mixed faults, store", MixedFaults, Seeds()); }
 TEST(Control, MixedTroublesRegistry) {
   WorldOptions options;
   options.keep_past = false;
-  RunDays("mixed troubles, registry", MixedTroubles, Seeds(2), options);
+  RunScenarios("mixed faults, registry", MixedFaults, Seeds(2), options);
 }
 TEST(Control, MixedTroublesFiveVoters) {
   WorldOptions options;
   options.founders = options.voters = 5;
-  RunDays("mixed troubles, five voters", MixedTroubles, Seeds(4), options);
+  RunScenarios("mixed faults, five voters", MixedFaults, Seeds(4), options);
 }
-TEST(Control, ACoreIsCutOffFor20s) { RunDays("cut off for 20 s", CutOffFor20s, Seeds(10)); }
+TEST(Control, ACoreIsCutOffFor20s) { RunScenarios("cut off for 20 s", CutOffFor20s, Seeds(10)); }
 TEST(Control, WipedAfterAnAcknowledgement) {
-  RunDays("wiped after an acknowledgement", WipedAfterAnAcknowledgement, Seeds(8));
+  RunScenarios("wiped after an acknowledgement", WipedAfterAnAcknowledgement, Seeds(8));
 }
 TEST(Control, DisksAreLostWhileAllOthersLosePower) {
-  RunDays("disks lost, power off", DisksLostAndPowerOff, Seeds());
+  RunScenarios("disks lost, power off", DisksLostAndPowerOff, Seeds());
 }
 TEST(Control, DisksAreLostWhileAllOthersLosePowerFiveVoters) {
   WorldOptions options;
   options.founders = options.voters = 5;
-  RunDays("disks lost, power off, five voters", DisksLostAndPowerOff, Seeds(4), options);
+  RunScenarios("disks lost, power off, five voters", DisksLostAndPowerOff, Seeds(4), options);
 }
-// Guards against: three cores hold everything of eighteen, the loss of two disks that must be borne takes the
-// majority for good, and nothing is served again.
+// Guards against a system of eighteen cores with only three members: the tolerated loss of two disks would
+// destroy the majority for good, and the table could never be served again.
 TEST(Control, DisksOfVotersThatWereAddedAreLostWhileAllOthersLosePower) {
   WorldOptions options;
   options.voters = replication::VotersToTolerate(2);
-  RunDays("disks of added voters lost", DisksOfAddedVotersLost, Seeds(8), options);
+  RunScenarios("disks of added voters lost", DisksOfAddedVotersLost, Seeds(8), options);
 }
 TEST(Control, CutOffWhileADiskIsLost) {
-  RunDays("cut off while a disk is lost", CutOffWhileADiskIsLost, Seeds());
+  RunScenarios("cut off while a disk is lost", CutOffWhileADiskIsLost, Seeds());
 }
 TEST(Control, ThrottledWhileADiskIsLost) {
-  RunDays("throttled while a disk is lost", ThrottledWhileADiskIsLost, Seeds());
+  RunScenarios("throttled while a disk is lost", ThrottledWhileADiskIsLost, Seeds());
+}
+TEST(Control, ReplacementsInTurn) { RunScenarios("replacements in turn", ReplacementsInTurn, Seeds(8)); }
+TEST(Control, SecondLossAfterReplacement) {
+  RunScenarios("second loss", SecondLossAfterReplacement, Seeds(8));
 }
-TEST(Control, ReplacementsInTurn) { RunDays("replacements in turn", ReplacementsInTurn, Seeds(8)); }
-TEST(Control, SecondLossAfterReplacement) { RunDays("second loss", SecondLossAfterReplacement, Seeds(8)); }
 TEST(Control, AReplacedMemberReturns) {
-  RunDays("a replaced member returns", ReplacedMemberReturns, Seeds(10));
+  RunScenarios("a replaced member returns", ReplacedMemberReturns, Seeds(10));
 }
 TEST(Control, TwoReplacedMembersMeet) {
-  RunDays("two replaced members meet", TwoReplacedMembersMeet, Seeds(10));
+  RunScenarios("two replaced members meet", TwoReplacedMembersMeet, Seeds(10));
 }
 TEST(Control, ReplacedAndStillReached) {
-  RunDays("replaced and still reached", ReplacedAndStillReached, Seeds(10));
+  RunScenarios("replaced and still reached", ReplacedAndStillReached, Seeds(10));
 }
-TEST(Control, HubLosesPower) { RunDays("hub loses power", HubLosesPower, Seeds()); }
+TEST(Control, HubLosesPower) { RunScenarios("hub loses power", HubLosesPower, Seeds()); }
 TEST(Control, SlowLearner) {
   WorldOptions options;
   options.content_size = 20000;
-  RunDays("slow learner", SlowLearner, Seeds(20), options);
+  RunScenarios("slow learner", SlowLearner, Seeds(20), options);
 }
-TEST(Control, SeedsThatAreGone) { RunDays("seeds that are gone", SeedsThatAreGone, Seeds(10)); }
+TEST(Control, SeedsThatAreGone) { RunScenarios("seeds that are gone", SeedsThatAreGone, Seeds(10)); }
 TEST(Control, AllKilledWhileMembersChange) {
-  RunDays("all killed while members change", AllKilledWhileMembersChange, Seeds(8));
+  RunScenarios("all killed while members change", AllKilledWhileMembersChange, Seeds(8));
+}
+TEST(Control, ProposersDie) { RunScenarios("proposers die", ProposersDie, Seeds(8)); }
+TEST(Control, TwoOperatorsDuringFaults) {
+  RunScenarios("two operators during faults", TwoOperatorsDuringFaults, Seeds(5));
 }
-TEST(Control, ProposersDie) { RunDays("proposers die", ProposersDie, Seeds(8)); }
-TEST(Control, TwoOperatorsInTrouble) { RunDays("two operators in trouble", TwoOperatorsInTrouble, Seeds(5)); }
 TEST(Control, FirstStartInAnyOrder) {
   WorldOptions options;
   options.start = false;
-  RunDays("first start", FirstStart, Seeds(10), options);
+  RunScenarios("first start", FirstStart, Seeds(10), options);
 }
 
-// Core 1 acknowledges an order, and loses its power before its Commit arrives anywhere.
-void LoseTheCoreThatAcknowledged(World* world) {
+// Core 1 acknowledges a command and loses power before its Commit arrives anywhere.
+void LosePowerAfterAcknowledgement(World* world) {
   bool done = false;
   auto before = std::exchange(world->on_command_completed, [&](size_t, const std::string&, Outcome outcome) {
     done = outcome == Outcome::kDone;
   });
   world->Write("10.0.0.1", "route_table/a", 1);
-  while (!done && world->now() < 2) world->For(0.0001);
+  while (!done && world->now() < 2) world->RunFor(0.0001);
   world->PowerOff("10.0.0.1");
   world->on_command_completed = std::move(before);
 }
 
-// Whoever acknowledges dies before it tells the others: they find it out by themselves, without a call.
+// A core dies after an acknowledgement, before the others learn of the decision. They must find it without
+// any further call.
 TEST(Control, WhatAnotherCoreDecidedIsFoundWithoutACall) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     WorldOptions options;
     options.seed = seed;
     World world(options);
-    world.Until(0.6);
-    LoseTheCoreThatAcknowledged(&world);
-    world.For(3);
-    if (!world.broken().empty()) FAIL(("seed " + std::to_string(seed) + " " + world.broken()).c_str());
+    world.RunUntil(0.6);
+    LosePowerAfterAcknowledgement(&world);
+    world.RunFor(3);
+    if (!world.violation().empty()) FAIL(("seed " + std::to_string(seed) + " " + world.violation()).c_str());
     CHECK(world.replica("10.0.0.2").table().Find("route_table/a") != nullptr);
     CHECK(world.replica("10.0.0.3").table().Find("route_table/a") != nullptr);
   }
 }
 
-// As before, and it can't be found out since the other's disk hangs: no calls are taken and no lists given
-// meanwhile.
+// As before, but the remaining cores can't find the decision, as the disk of one hangs. Meanwhile no calls
+// and no lists may be served.
 TEST(Control, WhatCannotBeFoundOutStopsCalls) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     WorldOptions options;
     options.seed = seed;
     World world(options);
-    world.Until(0.6);
-    LoseTheCoreThatAcknowledged(&world);
+    world.RunUntil(0.6);
+    LosePowerAfterAcknowledgement(&world);
     world.HangDisk("10.0.0.2", 100);
-    world.For(4);
-    if (!world.broken().empty()) FAIL(("seed " + std::to_string(seed) + " " + world.broken()).c_str());
+    world.RunFor(4);
+    if (!world.violation().empty()) FAIL(("seed " + std::to_string(seed) + " " + world.violation()).c_str());
     world.HealAll();
-    world.CheckSettles(kSettled);
-    if (!world.broken().empty()) FAIL(("seed " + std::to_string(seed) + " " + world.broken()).c_str());
+    world.CheckConverges(kConvergenceTimeout);
+    if (!world.violation().empty()) FAIL(("seed " + std::to_string(seed) + " " + world.violation()).c_str());
   }
 }
 
 TEST(Control, TheSameSeedIsTheSameDay) {
   Tally first, second;
   WorldOptions options;
-  STRCMP_EQUAL("", RunDay(options, MixedTroubles, &first).c_str());
-  STRCMP_EQUAL("", RunDay(options, MixedTroubles, &second).c_str());
+  STRCMP_EQUAL("", RunScenario(options, MixedFaults, &first).c_str());
+  STRCMP_EQUAL("", RunScenario(options, MixedFaults, &second).c_str());
   LONGS_EQUAL(first.revisions, second.revisions);
-  LONGS_EQUAL(first.not_taken, second.not_taken);
+  LONGS_EQUAL(first.not_done, second.not_done);
 }
 
-// Issue 50: two operators, one number, two cores at once.
+// Guards against issue 50: two operators send different contents under one version to two cores at once.
 TEST(Control, OneNumberIsConfirmedToOneContent) {
-  size_t refused = 0, unclear = 0;
+  size_t rejected = 0, indeterminate = 0;
   for (size_t seed = 1; seed <= Seeds(); ++seed) {
     WorldOptions options;
     options.seed = seed;
     World world(options);
-    world.Until(0.6);
+    world.RunUntil(0.6);
     std::map<size_t, Outcome> outcomes;
     world.on_command_completed = [&](size_t command, const std::string&, Outcome outcome) {
       outcomes[command] = outcome;
     };
     world.Write("10.0.0.1", "route_table/a", 1);
-    world.For(0.004 * world.Chance());
+    world.RunFor(0.004 * world.Chance());
     world.Write("10.0.0.2", "route_table/a", 1);
-    world.For(1.2);
+    world.RunFor(1.2);
     LONGS_EQUAL(2, outcomes.size());
     size_t done = 0;
     for (const auto& [command, outcome] : outcomes) {
       done += outcome == Outcome::kDone ? 1 : 0;
-      refused += outcome == Outcome::kRejected ? 1 : 0;
-      unclear += outcome == Outcome::kMaybeDone || outcome == Outcome::kNotDone ? 1 : 0;
+      rejected += outcome == Outcome::kRejected ? 1 : 0;
+      indeterminate += outcome == Outcome::kMaybeDone || outcome == Outcome::kNotDone ? 1 : 0;
     }
     CHECK_TEXT(done == 1,
                ("seed " + std::to_string(seed) + ": " + std::to_string(done) + " confirmed").c_str());
-    world.CheckSettles(5);
-    if (!world.broken().empty()) FAIL(("seed " + std::to_string(seed) + " " + world.broken()).c_str());
+    world.CheckConverges(5);
+    if (!world.violation().empty()) FAIL(("seed " + std::to_string(seed) + " " + world.violation()).c_str());
   }
-  std::printf("\none number at two cores: %zu seeds, the other refused %zu times, unclear %zu", Seeds(),
-              refused, unclear);
+  std::printf(
+      "\none version at two cores: %zu seeds, the other command rejected %zu times, indeterminate %zu",
+      Seeds(), rejected, indeterminate);
 }
 
-// The same order again, after a higher number has come, at each core in turn: confirmed, as it was.
+// A confirmed command that is sent again to each core after a higher version was written is confirmed again.
 TEST(Control, AnOrderThatWasConfirmedIsConfirmedAgain) {
   World world({});
-  world.Until(0.6);
+  world.RunUntil(0.6);
   std::vector<Outcome> outcomes;
   world.on_command_completed = [&](size_t, const std::string&, Outcome outcome) {
     outcomes.push_back(outcome);
   };
   size_t first = world.Write("10.0.0.1", "quota/a", 4);
-  world.For(0.2);
+  world.RunFor(0.2);
   world.Write("10.0.0.2", "quota/a", 9);
-  world.For(0.2);
+  world.RunFor(0.2);
   for (const std::string& machine : world.Machines()) {
     world.Resend(first, machine);
-    world.For(0.2);
+    world.RunFor(0.2);
   }
   LONGS_EQUAL(5, outcomes.size());
   for (Outcome outcome : outcomes) CHECK(outcome == Outcome::kDone);
-  // A lower number that was never used changes nothing, and is confirmed to one content only.
+  // A lower version that was never used changes nothing and is confirmed for one content only.
   world.Write("10.0.0.3", "quota/a", 2);
-  world.For(0.2);
+  world.RunFor(0.2);
   world.Write("10.0.0.1", "quota/a", 2);
-  world.For(0.2);
+  world.RunFor(0.2);
   CHECK(outcomes[5] == Outcome::kDone);
   CHECK(outcomes[6] == Outcome::kRejected);
   LONGS_EQUAL(9, world.replica("10.0.0.1").table().Find("quota/a")->item.version);
-  world.CheckSettles(5);
-  STRCMP_EQUAL("", world.broken().c_str());
+  world.CheckConverges(5);
+  STRCMP_EQUAL("", world.violation().c_str());
 }
 
-// Out of contact nothing is taken, at once; and an order that was never proposed is told so.
+// A core without quorum contact refuses commands immediately, as not done.
 TEST(Control, ACoreOutOfContactRefusesAtOnce) {
   World world({});
-  world.Until(0.6);
+  world.RunUntil(0.6);
   world.Isolate("10.0.0.3");
-  world.For(1.1);
+  world.RunFor(1.1);
   CHECK(!world.HasQuorumContact("10.0.0.3"));
   CHECK(world.HasQuorumContact("10.0.0.1"));
   std::vector<Outcome> outcomes;
@@ -715,15 +724,15 @@
     outcomes.push_back(outcome);
   };
   world.Write("10.0.0.3", "quota/a", 1);
-  world.For(0.01);
+  world.RunFor(0.01);
   LONGS_EQUAL(1, outcomes.size());
   CHECK(outcomes[0] == Outcome::kNotDone);
   world.HealAll();
-  world.CheckSettles(5);
-  STRCMP_EQUAL("", world.broken().c_str());
+  world.CheckConverges(5);
+  STRCMP_EQUAL("", world.violation().c_str());
 }
 
-// The version rules, item by item: one content a number.
+// The version rules for single items: each version is confirmed for one content only.
 TEST(Control, OneContentANumber) {
   using Kind = replication::Evaluation::Kind;
   auto evaluate = [](const Item& item, const Record* standing) {
@@ -739,12 +748,12 @@
   CHECK(second.kind == Kind::kApply && second.replaces && second.record.item == four);
   CHECK(evaluate(three, &second.record).kind == Kind::kAlreadyApplied);
   for (const Item& item : {other, dropped}) CHECK(evaluate(item, &second.record).kind == Kind::kRejected);
-  // A lower number that was never used has no effect, and is one content's from then on.
+  // A lower version that was never used has no effect, and is bound to this content from then on.
   replication::ItemEvaluation third = evaluate(two, &second.record);
   CHECK(third.kind == Kind::kApply && !third.replaces && third.record.item == four);
   CHECK(evaluate(two, &third.record).kind == Kind::kAlreadyApplied);
   CHECK(evaluate({"k", 2, false, "x"}, &third.record).kind == Kind::kRejected);
-  // What is lower than all that is remembered can't be known.
+  // For a version lower than all remembered ones the outcome can't be known.
   Record long_past{{"k", 1000, false, "x"}, 0, {}};
   for (uint64_t version = 500; long_past.past.size() < replication::kMaxPastVersions; ++version)
     long_past.past.push_back({version, 1});
@@ -752,33 +761,34 @@
   CHECK(evaluate({"k", 500, false, "x"}, &long_past).kind == Kind::kRejected);
 }
 
-// Mistakes that the rules must find, planted between the parts or in the owner's policy.
+// Mistakes that the rules must detect, injected between the components or in the policy of the table's owner.
 namespace {
 
-using Plant = void (*)(WorldOptions* options);
+using Mistake = void (*)(WorldOptions* options);
 
-void ExpectFound(const char* name, Plant plant, std::vector<Troubles> troubles, size_t most = 40) {
-  for (size_t seed = 1; seed <= most; ++seed) {
-    for (Troubles trouble : troubles) {
+void ExpectDetected(const char* name, Mistake mistake, std::vector<Scenario> scenarios,
+                    size_t max_seeds = 40) {
+  for (size_t seed = 1; seed <= max_seeds; ++seed) {
+    for (Scenario scenario : scenarios) {
       WorldOptions options;
       options.seed = seed;
-      plant(&options);
-      std::string broken = RunDay(options, trouble, nullptr, 0.02);
-      if (broken.empty()) continue;
+      mistake(&options);
+      std::string violation = RunScenario(options, scenario, nullptr, 0.02);
+      if (violation.empty()) continue;
       WorldOptions sound;
       sound.seed = seed;
       sound.content_size = options.content_size;
-      std::string of_sound = RunDay(sound, trouble, nullptr, 0.02);
+      std::string of_sound = RunScenario(sound, scenario, nullptr, 0.02);
       if (!of_sound.empty())
-        FAIL(("without the mistake, seed " + std::to_string(seed) + " " + of_sound).c_str());
-      std::printf("\n%s: found with seed %zu, %s", name, seed, broken.c_str());
+        FAIL(("even without the mistake, seed " + std::to_string(seed) + " " + of_sound).c_str());
+      std::printf("\n%s: detected with seed %zu, %s", name, seed, violation.c_str());
       return;
     }
   }
-  FAIL((std::string(name) + " isn't found in " + std::to_string(most) + " seeds").c_str());
+  FAIL((std::string(name) + " is not detected in " + std::to_string(max_seeds) + " seeds").c_str());
 }
 
-// What a policy confirms where it must refuse.
+// Confirms commands that it must reject.
 class ConfirmsConflicts : public SimulatedPolicy {
  public:
   ConfirmsConflicts() : SimulatedPolicy(true, 1) {}
@@ -789,25 +799,25 @@
     return evaluation;
   }
 };
-class ForgetsThePast : public SimulatedPolicy {
+class ForgetsPastVersions : public SimulatedPolicy {
  public:
-  ForgetsThePast() : SimulatedPolicy(true, 1) {}
+  ForgetsPastVersions() : SimulatedPolicy(true, 1) {}
   replication::ItemEvaluation EvaluateOne(const Item& item, const Record* standing) const override {
     replication::ItemEvaluation evaluation = SimulatedPolicy::EvaluateOne(item, standing);
     evaluation.record.past.clear();
     return evaluation;
   }
 };
-class TakesTheLowerNumber : public SimulatedPolicy {
+class AppliesLowerVersions : public SimulatedPolicy {
  public:
-  TakesTheLowerNumber() : SimulatedPolicy(true, 1) {}
+  AppliesLowerVersions() : SimulatedPolicy(true, 1) {}
   replication::ItemEvaluation EvaluateOne(const Item& item, const Record*) const override {
     return SimulatedPolicy::EvaluateOne(item, nullptr);
   }
 };
-class RefusesTheRepeated : public SimulatedPolicy {
+class RejectsRepeatedCommands : public SimulatedPolicy {
  public:
-  RefusesTheRepeated() : SimulatedPolicy(true, 1) {}
+  RejectsRepeatedCommands() : SimulatedPolicy(true, 1) {}
   replication::ItemEvaluation EvaluateOne(const Item& item, const Record* standing) const override {
     replication::ItemEvaluation evaluation = SimulatedPolicy::EvaluateOne(item, standing);
     bool repeated = standing && item.version < standing->item.version;
@@ -815,10 +825,10 @@
     return evaluation;
   }
 };
-// Takes what it can of an order, and leaves out the rest.
-class TakesParts : public SimulatedPolicy {
+// Applies only the first item of a command.
+class AppliesPartially : public SimulatedPolicy {
  public:
-  TakesParts() : SimulatedPolicy(true, 1) {}
+  AppliesPartially() : SimulatedPolicy(true, 1) {}
   replication::Evaluation Evaluate(const std::vector<Item>& items,
                                    const replication::TableOverlay& overlay) const override {
     return SimulatedPolicy::Evaluate({items.front()}, overlay);
@@ -826,7 +836,7 @@
 };
 
 template <class Policy>
-void PlantPolicy(WorldOptions* options) {
+void UsePolicy(WorldOptions* options) {
   options->make_policy = [] { return std::make_unique<Policy>(); };
 }
 
@@ -839,111 +849,112 @@
 
 TEST_GROUP(ControlMistakes){};
 
-TEST(ControlMistakes, AcceptedIsToldBeforeTheSync) {
-  Plant plant = [](WorldOptions* options) {
-    options->told_before_sync = [](const replication::StoreBatch& batch) {
+TEST(ControlMistakes, AcceptedIsReportedBeforeTheSync) {
+  Mistake mistake = [](WorldOptions* options) {
+    options->reported_before_sync = [](const replication::StoreBatch& batch) {
       return batch.accepted_changed && batch.accepted;
     };
   };
-  ExpectFound("accepted told before the sync", plant, {MixedTroubles, WipedAfterAnAcknowledgement});
+  ExpectDetected("accepted reported before the sync", mistake, {MixedFaults, WipedAfterAnAcknowledgement});
 }
 
-TEST(ControlMistakes, APromiseIsToldBeforeTheSync) {
-  Plant plant = [](WorldOptions* options) {
-    options->told_before_sync = [](const replication::StoreBatch& batch) {
+TEST(ControlMistakes, APromiseIsReportedBeforeTheSync) {
+  Mistake mistake = [](WorldOptions* options) {
+    options->reported_before_sync = [](const replication::StoreBatch& batch) {
       return batch.sync && !batch.accepted_changed;
     };
   };
-  ExpectFound("promise told before the sync", plant, {HubLosesPower});
+  ExpectDetected("promise reported before the sync", mistake, {HubLosesPower});
 }
 
 TEST(ControlMistakes, AWipedMachineVotesAsBefore) {
-  ExpectFound("amnesia", [](WorldOptions* options) { options->wiped_keeps_store_id = true; },
-              {MixedTroubles, WipedAfterAnAcknowledgement});
+  ExpectDetected("a wiped machine keeps its store id",
+                 [](WorldOptions* options) { options->wiped_keeps_store_id = true; },
+                 {MixedFaults, WipedAfterAnAcknowledgement});
 }
 
 TEST(ControlMistakes, AnOlderEpochIsBelieved) {
-  // Whatever comes is held to be of the receiver's own epoch.
-  Plant plant = [](WorldOptions* options) {
+  // Every message appears to be of the receiver's epoch.
+  Mistake mistake = [](WorldOptions* options) {
     options->tamper = [epochs = std::map<std::string, uint64_t>()](
                           const std::string& from, const std::string& to, PeerMessage* message) mutable {
       epochs[from] = message->header.epoch;
       if (epochs[to] > 0) message->header.epoch = epochs[to];
     };
   };
-  ExpectFound("an older epoch believed", plant, {ReplacedAndStillReached});
+  ExpectDetected("an older epoch believed", mistake, {ReplacedAndStillReached});
 }
 
 TEST(ControlMistakes, AWipedMachineIsBelievedToBeTheMember) {
-  Plant plant = [](WorldOptions* options) {
+  Mistake mistake = [](WorldOptions* options) {
     options->tamper = [](const std::string&, const std::string&, PeerMessage* message) {
       message->header.store_id = replication::kFounderStoreId;
     };
   };
-  ExpectFound("a wiped machine counts as the member it was", plant,
-              {MixedTroubles, WipedAfterAnAcknowledgement});
+  ExpectDetected("a wiped machine counts as the member it was", mistake,
+                 {MixedFaults, WipedAfterAnAcknowledgement});
 }
 
 TEST(ControlMistakes, ACommitForAnotherBallot) {
-  Plant plant = [](WorldOptions* options) {
+  Mistake mistake = [](WorldOptions* options) {
     // The last number that the receiver accepted is taken for the decided one.
     options->tamper = [accepted = std::map<std::string, messages::ProposalNumber>()](
                           const std::string& from, const std::string& to, PeerMessage* message) mutable {
-      if (auto* told = BodyOf<messages::Accepted>(message)) accepted[from] = told->number;
+      if (auto* reply = BodyOf<messages::Accepted>(message)) accepted[from] = reply->number;
       if (auto* commit = BodyOf<messages::Commit>(message)) commit->number = accepted[to];
     };
   };
-  ExpectFound("commit for another number", plant, {MixedTroubles, ProposersDie}, 400);
+  ExpectDetected("commit for another number", mistake, {MixedFaults, ProposersDie}, 400);
 }
 
 TEST(ControlMistakes, AnAcceptThatWasNotGivenIsCounted) {
-  Plant plant = [](WorldOptions* options) {
+  Mistake mistake = [](WorldOptions* options) {
     options->tamper = [](const std::string&, const std::string&, PeerMessage* message) {
       auto* rejected = BodyOf<messages::Rejected>(message);
       if (rejected) message->body = messages::Accepted{rejected->revision, rejected->number};
     };
   };
-  ExpectFound("a refusal counted as accepted", plant, {MixedTroubles, ProposersDie});
+  ExpectDetected("a rejection counted as accepted", mistake, {MixedFaults, ProposersDie});
 }
 
 TEST(ControlMistakes, WhatWasAcceptedIsNotTold) {
-  Plant plant = [](WorldOptions* options) {
+  Mistake mistake = [](WorldOptions* options) {
     options->tamper = [](const std::string&, const std::string&, PeerMessage* message) {
       if (auto* promise = BodyOf<messages::Promise>(message)) promise->accepted.reset();
     };
   };
-  ExpectFound("promises that leave out what was accepted", plant, {MixedTroubles, ProposersDie});
+  ExpectDetected("promises that leave out what was accepted", mistake, {MixedFaults, ProposersDie});
 }
 
 TEST(ControlMistakes, AConflictIsConfirmed) {
-  ExpectFound("a conflict confirmed", PlantPolicy<ConfirmsConflicts>, {MixedTroubles});
+  ExpectDetected("a conflict confirmed", UsePolicy<ConfirmsConflicts>, {MixedFaults});
 }
 TEST(ControlMistakes, ThePastIsForgotten) {
-  ExpectFound("the past forgotten", PlantPolicy<ForgetsThePast>, {MixedTroubles});
+  ExpectDetected("the past forgotten", UsePolicy<ForgetsPastVersions>, {MixedFaults});
 }
 TEST(ControlMistakes, ALowerNumberTakesEffect) {
-  ExpectFound("a lower number takes effect", PlantPolicy<TakesTheLowerNumber>, {MixedTroubles});
+  ExpectDetected("a lower number takes effect", UsePolicy<AppliesLowerVersions>, {MixedFaults});
 }
 TEST(ControlMistakes, ARepeatedOrderIsRefused) {
-  ExpectFound("a repeated order refused", PlantPolicy<RefusesTheRepeated>, {MixedTroubles});
+  ExpectDetected("a repeated command rejected", UsePolicy<RejectsRepeatedCommands>, {MixedFaults});
 }
 TEST(ControlMistakes, AnOrderIsTakenInPart) {
-  ExpectFound("an order taken in part", PlantPolicy<TakesParts>, {MixedTroubles});
+  ExpectDetected("a command applied in part", UsePolicy<AppliesPartially>, {MixedFaults});
 }
 
 TEST(ControlMistakes, ADeltaLeavesOutRecords) {
-  Plant plant = [](WorldOptions* options) {
+  Mistake mistake = [](WorldOptions* options) {
     options->tamper = [](const std::string&, const std::string&, PeerMessage* message) {
       auto* delta = BodyOf<messages::Delta>(message);
       if (delta && delta->records.size() > 1) delta->records.pop_back();
     };
   };
-  ExpectFound("a delta with records left out", plant, {MixedTroubles});
+  ExpectDetected("a delta with records left out", mistake, {MixedFaults});
 }
 
 TEST(ControlMistakes, ALearnerCountsAsCaughtUpTooEarly) {
-  // Every learner says that it is of the newest epoch, and that its disk holds whatever is decided.
-  Plant plant = [](WorldOptions* options) {
+  // Every learner claims to be in the newest epoch and to have everything decided on disk.
+  Mistake mistake = [](WorldOptions* options) {
     options->content_size = 20000;
     options->tamper = [newest = messages::PeerHeader()](const std::string&, const std::string&,
                                                         PeerMessage* message) mutable {
@@ -954,22 +965,22 @@
       message->header.durable_revision = newest.revision;
     };
   };
-  ExpectFound("a learner caught up too early", plant, {SlowLearner});
+  ExpectDetected("a learner caught up too early", mistake, {SlowLearner});
 }
 
 TEST(ControlMistakes, ATombstoneEndsAtOneCoreOnly) {
-  Plant plant = [](WorldOptions* options) {
+  Mistake mistake = [](WorldOptions* options) {
     options->tamper = [](const std::string&, const std::string& to, PeerMessage* message) {
       auto* accept = BodyOf<messages::Accept>(message);
       if (accept && to == "10.0.0.1") accept->change.pruned.clear();
     };
   };
-  ExpectFound("a tombstone ended at one core only", plant, {MixedTroubles, CutOffFor20s});
+  ExpectDetected("a tombstone ended at one core only", mistake, {MixedFaults, CutOffFor20s});
 }
 
-TEST(ControlMistakes, AnOldSnapshotIsLedWith) {
-  // Catching up is told to be complete before it is.
-  Plant plant = [](WorldOptions* options) {
+TEST(ControlMistakes, ACatchUpIsReportedCompleteTooEarly) {
+  // Catch-up is reported as complete too early.
+  Mistake mistake = [](WorldOptions* options) {
     options->tamper = [](const std::string&, const std::string&, PeerMessage* message) {
       auto* delta = BodyOf<messages::Delta>(message);
       if (!delta || delta->records.size() < 2) return;
@@ -977,16 +988,16 @@
       delta->end_revision = delta->to_revision;
     };
   };
-  ExpectFound("an old snapshot led with", plant, {MixedTroubles, CutOffFor20s});
+  ExpectDetected("catch-up reported complete too early", mistake, {MixedFaults, CutOffFor20s});
 }
 
 TEST(ControlMistakes, AReadThatAsksNobody) {
-  Plant plant = [](WorldOptions* options) {
+  Mistake mistake = [](WorldOptions* options) {
     options->tamper = [](const std::string&, const std::string&, PeerMessage* message) {
       if (!BodyOf<messages::ReadReply>(message)) return;
       message->header.revision = 0;
       BodyOf<messages::ReadReply>(message)->undecided = false;
     };
   };
-  ExpectFound("a read that asks nobody", plant, {MixedTroubles});
+  ExpectDetected("a read that asks nobody", mistake, {MixedFaults});
 }
--- a/tests/system/decisions/replication/acceptor_test.cpp
+++ b/tests/system/decisions/replication/acceptor_test.cpp
@@ -1,7 +1,7 @@
-// What an acceptor promises and accepts.
+// Tests of which proposals an acceptor promises and accepts.
 #include "replication/acceptor.h"
 
-#include <CppUTest/TestHarness.h>  // after all others: it names new anew
+#include <CppUTest/TestHarness.h>  // must be last: it redefines new
 
 using namespace ivygw;
 using namespace ivygw::replication;
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr TimePoint kNow = TimePointOf(10);
-constexpr uint64_t kRevision = 4;  // applied
+constexpr uint64_t kRevision = 4;  // the last one applied
 
 messages::Prepare PrepareOf(uint64_t counter, uint64_t revision = kRevision + 1) {
   return {.revision = revision, .number = {.counter = counter, .proposer = 1}};
@@ -28,9 +28,9 @@
   Acceptor acceptor({}, std::nullopt, kRevision);
   CHECK(acceptor.OnPrepare(PrepareOf(5), kRevision));
   CHECK(!acceptor.OnPrepare(PrepareOf(4), kRevision));
-  CHECK(acceptor.OnPrepare(PrepareOf(5), kRevision));  // the same once more
+  CHECK(acceptor.OnPrepare(PrepareOf(5), kRevision));  // the same number again
   LONGS_EQUAL(5, acceptor.promised().counter);
-  CHECK(!acceptor.OnPrepare(PrepareOf(6, kRevision), kRevision));  // applied already
+  CHECK(!acceptor.OnPrepare(PrepareOf(6, kRevision), kRevision));  // already applied
   LONGS_EQUAL(5, acceptor.promised().counter);
 }
 
@@ -65,7 +65,7 @@
   acceptor.OnTime(kNow);
   CHECK(acceptor.undecided_since() == kNow);
   Acceptor later({}, AcceptedChange{{}, change}, kRevision + 1);
-  CHECK(!later.accepted());  // it has been decided, one way or another
+  CHECK(!later.accepted());  // its revision has been decided already
 }
 
 TEST(Acceptor, HandsADeferredAcceptOutOnceItsRevisionIsNext) {
@@ -75,6 +75,6 @@
   CHECK(acceptor.TakeDeferred(kRevision + 2)->from == "10.0.0.1");
   CHECK(!acceptor.TakeDeferred(kRevision + 2));
   acceptor.Defer("10.0.0.1", AcceptOf(5, kRevision + 3));
-  CHECK(!acceptor.TakeDeferred(kRevision + 3));  // applied meanwhile: dropped
+  CHECK(!acceptor.TakeDeferred(kRevision + 3));  // dropped, as its revision has been applied
   CHECK(!acceptor.TakeDeferred(kRevision + 2));
 }
--- a/tests/system/decisions/replication/command_queue_test.cpp
+++ b/tests/system/decisions/replication/command_queue_test.cpp
@@ -1,7 +1,7 @@
-// How commands become a change, and how each one ends.
+// Tests of how commands are combined into a change, and of their outcomes.
 #include "replication/command_queue.h"
 
-#include <CppUTest/TestHarness.h>  // after all others: it names new anew
+#include <CppUTest/TestHarness.h>  // must be last: it redefines new
 
 using namespace ivygw;
 using namespace ivygw::replication;
@@ -12,7 +12,7 @@
 constexpr uint64_t kRevision = 4;
 constexpr uint64_t kEpoch = 2;
 
-// The shared version rules, acknowledged versions remembered.
+// Applies the shared version rules and remembers acknowledged versions.
 class VersionedPolicy : public CommandPolicy {
  public:
   void OnRecord(const Record&) override {}
@@ -57,7 +57,7 @@
   LONGS_EQUAL(2, completions.size());
   LONGS_EQUAL(1, completions[0].ticket);
   CHECK(completions[0].outcome == Outcome::kDone);
-  CHECK(queue.AnyToPropose());  // the third
+  CHECK(queue.AnyToPropose());  // the third command
 }
 
 TEST(CommandQueue, WhatStandsAlreadyIsDoneWithoutAChange) {
@@ -69,7 +69,7 @@
   CHECK(queue.empty());
 }
 
-TEST(CommandQueue, ARejectionIsToldOnceAReadHasConfirmedIt) {
+TEST(CommandQueue, ARejectionIsReportedOnceAReadHasConfirmedIt) {
   Put(ItemOf("k", 3, "x"));
   queue.AddWrite(1, {ItemOf("k", 3, "other")}, kDeadline);
   CommandQueue::NextChange next = Build();
@@ -88,7 +88,7 @@
   Put(ItemOf("k", 3, "x"));
   queue.AddWrite(1, {ItemOf("k", 3, "other")}, kDeadline);
   queue.BeginConfirmation(Build().to_confirm.at(0), 21);
-  table.Clear();  // as far as this command is concerned
+  table.Clear();  // the conflicting record is gone
   Completion completion;
   CHECK(queue.OnConfirmingReadEnded(21, true, table, &completion) == CommandQueue::Confirmation::kPropose);
   CHECK(queue.AnyToPropose());
@@ -131,7 +131,7 @@
   queue.OnDecided(*Build().change);
   CHECK(Build().change->membership.has_value());
   CommandQueue::NextChange late =
-      queue.BuildChange(table, kRevision, kEpoch + 1);  // of an epoch that has passed
+      queue.BuildChange(table, kRevision, kEpoch + 1);  // the change was for an epoch that has passed
   CHECK(!late.change && queue.empty());
 }
 
@@ -145,5 +145,5 @@
   CHECK(!Build().change && queue.empty());
   queue.AddPrune({tombstone}, kDeadline);
   CHECK(Build().change->pruned == std::vector<std::string>{"gone"});
-  LONGS_EQUAL(0, queue.OnDecided(*Build().change).size());  // nobody waits for it
+  LONGS_EQUAL(0, queue.OnDecided(*Build().change).size());  // pruning has no completion
 }
--- a/tests/system/decisions/replication/membership_test.cpp
+++ b/tests/system/decisions/replication/membership_test.cpp
@@ -1,8 +1,8 @@
-// Which members answer, and which change of the members is due.
+// Tests of failure detection and of which membership change is due.
 #include "replication/membership_manager.h"
 #include "replication/timing.h"
 
-#include <CppUTest/TestHarness.h>  // after all others: it names new anew
+#include <CppUTest/TestHarness.h>  // must be last: it redefines new
 
 using namespace ivygw;
 using namespace ivygw::replication;
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-// The view of 10.0.0.1, whose store has id 1.
+// Tests from the point of view of 10.0.0.1, whose store has ID 1.
 TEST_GROUP(Members) {
   Membership membership = ThreeMembers();
   PeerTable peers;
@@ -25,7 +25,7 @@
   QuorumContact contact;
   MembershipManager manager{"10.0.0.1", 3};
 
-  void Hear(TimePoint now, const std::string& address, uint64_t store_id, uint64_t durable_revision = 0) {
+  void Receive(TimePoint now, const std::string& address, uint64_t store_id, uint64_t durable_revision = 0) {
     peers.SetConnected(address, true);
     PeerHeader header;
     header.epoch = membership.epoch;
@@ -43,12 +43,12 @@
   std::optional<Membership> Check(TimePoint now, uint64_t revision = 100) {
     return manager.Check(now, {membership, revision, 1, peers, detector, contact}, false);
   }
-  // In contact for long, with 10.0.0.2; 10.0.0.3 has answered last at kNow.
-  void LoseTheThird() {
+  // This core is in contact. The other members have last answered at kNow.
+  void ContactOthersAtNow() {
     contact.OnQuorum(kNow);
     contact.OnInitialReadEnded(true, 100);
-    Hear(kNow, "10.0.0.2", 2);
-    Hear(kNow, "10.0.0.3", 3);
+    Receive(kNow, "10.0.0.2", 2);
+    Receive(kNow, "10.0.0.3", 3);
     AnswerHeartbeat(kNow, {"10.0.0.2", "10.0.0.3"});
   }
 };
@@ -56,17 +56,17 @@
 TEST(Members, AMajorityIsAliveWithTheStoresOfTheMembers) {
   CHECK(!QuorumIsAlive(kNow));
   AnswerHeartbeat(kNow, {"10.0.0.2"});
-  Hear(kNow, "10.0.0.2", 99);  // another store: a machine that has lost its disk
+  Receive(kNow, "10.0.0.2", 99);  // another store, as the machine has lost its disk
   CHECK(!QuorumIsAlive(kNow));
-  Hear(kNow, "10.0.0.2", 2);
+  Receive(kNow, "10.0.0.2", 2);
   CHECK(QuorumIsAlive(kNow));
   CHECK(!QuorumIsAlive(kNow + kContactTimeout));
-  membership.epoch = 0;  // nothing is known of the members yet
+  membership.epoch = 0;  // the membership is not known yet
   CHECK(!QuorumIsAlive(kNow));
 }
 
 TEST(Members, ALateAnswerCountsFromWhenItsHeartbeatWasSent) {
-  Hear(kNow, "10.0.0.2", 2);
+  Receive(kNow, "10.0.0.2", 2);
   messages::Heartbeat heartbeat = detector.BeginHeartbeat(kNow);
   TimePoint late = kNow + kContactTimeout / 2;
   CHECK(detector.HeartbeatDue(late));
@@ -78,20 +78,20 @@
 }
 
 TEST(Members, NothingIsDueWhileAllAnswer) {
-  LoseTheThird();
-  Hear(kNow, "10.0.0.9", 9, 100);
+  ContactOthersAtNow();
+  Receive(kNow, "10.0.0.9", 9, 100);
   CHECK(!Check(kNow));
   CHECK(!manager.CheckDue(kNow));
   CHECK(manager.CheckDue(kNow + kMembershipCheckInterval));
 }
 
 TEST(Members, ASilentMemberIsReplacedByALearnerThatHasCaughtUp) {
-  LoseTheThird();
+  ContactOthersAtNow();
   TimePoint later = kNow + kMemberFailureTimeout;
   AnswerHeartbeat(later, {"10.0.0.2"});
-  Hear(later, "10.0.0.9", 9, 99);
+  Receive(later, "10.0.0.9", 9, 99);
   CHECK(!Check(later));  // its disk lacks a change
-  Hear(later, "10.0.0.9", 9, 100);
+  Receive(later, "10.0.0.9", 9, 100);
   std::optional<Membership> next = Check(later);
   CHECK(next.has_value());
   LONGS_EQUAL(6, next->epoch);
@@ -100,8 +100,8 @@
 }
 
 TEST(Members, AMachineThatLostItsDiskTakesItsOwnPlaceAtOnce) {
-  LoseTheThird();
-  Hear(kNow, "10.0.0.3", 33, 100);
+  ContactOthersAtNow();
+  Receive(kNow, "10.0.0.3", 33, 100);
   std::optional<Membership> next = Check(kNow);
   CHECK(next && next->Contains("10.0.0.3", 33) && !next->Contains("10.0.0.3", 3));
 }
@@ -109,8 +109,8 @@
 TEST(Members, ALaterMemberWaitsForTheFirst) {
   MembershipManager third("10.0.0.3", 3);
   contact.OnQuorum(kNow);
-  Hear(kNow, "10.0.0.1", 1);
-  Hear(kNow, "10.0.0.2", 22, 100);  // has lost its disk
+  Receive(kNow, "10.0.0.1", 1);
+  Receive(kNow, "10.0.0.2", 22, 100);  // has lost its disk
   AnswerHeartbeat(kNow, {"10.0.0.1"});
   MembershipManager::View view{membership, 100, 3, peers, detector, contact};
   CHECK(!third.Check(kNow, view, false));
@@ -120,11 +120,11 @@
 TEST(Members, AJoiningMemberIsWaitedForUnlessItIsSilentOrItsDiskHangs) {
   Member joining{"10.0.0.9", 9, "a"};
   manager.OnProposed(kNow, 101);
-  CHECK(manager.MayDecideWithout(kNow, joining, peers));  // never seen here
-  Hear(kNow, "10.0.0.9", 9);
+  CHECK(manager.MayDecideWithout(kNow, joining, peers));  // unknown to this core
+  Receive(kNow, "10.0.0.9", 9);
   CHECK(!manager.MayDecideWithout(kNow, joining, peers));
   CHECK(manager.MayDecideWithout(kNow + kJoinSilenceTimeout, joining, peers));
   TimePoint hangs = kNow + kJoinTimeout;
-  Hear(hangs, "10.0.0.9", 9);
+  Receive(hangs, "10.0.0.9", 9);
   CHECK(manager.MayDecideWithout(hangs, joining, peers));
 }
--- a/tests/system/decisions/replication/proposer_test.cpp
+++ b/tests/system/decisions/replication/proposer_test.cpp
@@ -1,9 +1,9 @@
-// When a proposer proposes, and with which number.
+// Tests of when a proposer may begin a proposal, and of proposal numbers.
 #include "replication/proposer.h"
 
 #include "replication/timing.h"
 
-#include <CppUTest/TestHarness.h>  // after all others: it names new anew
+#include <CppUTest/TestHarness.h>  // must be last: it redefines new
 
 using namespace ivygw;
 using namespace ivygw::replication;
@@ -27,7 +27,7 @@
   messages::Promise PromiseTo(const messages::Prepare& prepare) const {
     return {.revision = prepare.revision, .number = prepare.number, .accepted = std::nullopt};
   }
-  // Both phases of a proposal for `revision`, decided by two of three.
+  // Runs both phases of a proposal for `revision`, decided by two of three acceptors.
   void Decide(uint64_t revision) {
     if (proposer.MustPrepare()) {
       messages::Prepare prepare = proposer.BeginPrepare(kNow, revision);
@@ -108,7 +108,7 @@
   CHECK(!proposer.MayBegin(kNow));
   CHECK(proposer.MayBegin(kNow + kCompetitorDelay));
   Decide(1);
-  CHECK(!proposer.MayBegin(kNow));  // others are at it, too: they go first
+  CHECK(!proposer.MayBegin(kNow));  // a competitor is active: pauses after each decided change
   CHECK(proposer.MayBegin(kNow + kContentionPause));
   proposer.RequestRecovery();
   CHECK(proposer.MustPrepare());
@@ -123,6 +123,6 @@
   proposer.OnTime(kNow + kPhaseTimeout);
   CHECK(proposer.phase() == Proposer::Phase::kIdle);
   proposer.BeginPrepare(kNow, 1);
-  proposer.OnTime(kNow + kPhaseTimeout);  // the second has twice the time
+  proposer.OnTime(kNow + kPhaseTimeout);  // after a timeout the next phase gets twice the time
   CHECK(proposer.phase() == Proposer::Phase::kPreparing);
 }
--- a/tests/system/decisions/replication/read_index_test.cpp
+++ b/tests/system/decisions/replication/read_index_test.cpp
@@ -1,9 +1,9 @@
-// Which revision a read has to wait for.
+// Tests of the revision that a linearizable read must wait for.
 #include "replication/read_index.h"
 
 #include "replication/timing.h"
 
-#include <CppUTest/TestHarness.h>  // after all others: it names new anew
+#include <CppUTest/TestHarness.h>  // must be last: it redefines new
 
 using namespace ivygw;
 using namespace ivygw::replication;
@@ -37,7 +37,7 @@
 TEST(ReadIndex, AnAnswerGivenBeforeTheCallCountsForNothing) {
   reads.Add(1, kDeadline);
   reads.BeginRound(kNow);
-  reads.Add(2, kDeadline);  // the round may have been answered already
+  reads.Add(2, kDeadline);  // members may have answered the round before this read
   CloseRound(7, 7);
   CHECK(reads.Ready(7) == std::vector<ReadId>{1});
   CHECK(reads.AnyWithoutIndex());
@@ -51,7 +51,7 @@
   reads.BeginRound(kNow);
   CloseRound(7, 7, true);
   CHECK(reads.Ready(7).empty());
-  reads.OnNothingUndecided(7, kNow - Duration(1));  // promised before the index was known
+  reads.OnNothingUndecided(7, kNow - Duration(1));  // phase 1 began before the index was known
   CHECK(reads.Ready(7).empty());
   reads.OnNothingUndecided(7, kNow);
   CHECK(reads.Ready(7) == std::vector<ReadId>{1});
@@ -61,7 +61,7 @@
   reads.Add(1, kDeadline);
   reads.BeginRound(kNow);
   CHECK(!reads.OnReply(kNow, "a", 6, true, kQuorum));  // has accepted revision 7
-  CHECK(reads.OnReply(kNow, "b", 7, false, kQuorum));  // has applied it
+  CHECK(reads.OnReply(kNow, "b", 7, false, kQuorum));  // has applied revision 7
   CHECK(reads.Ready(7) == std::vector<ReadId>{1});
 }
 
@@ -71,12 +71,12 @@
   reads.CancelRound();
   CHECK(!reads.OnReply(kNow, "a", 7, false, 1));
   CHECK(reads.RoundTimedOut(kNow));
-  reads.BeginRound(kNow);  // the read goes on with the next one
+  reads.BeginRound(kNow);  // the read moves on to the next round
   CloseRound(7, 7);
   CHECK(reads.Ready(7) == std::vector<ReadId>{1});
 }
 
-TEST(ReadIndex, TellsWhatHasWaitedTooLong) {
+TEST(ReadIndex, ReportsReadsThatHaveWaitedTooLong) {
   reads.Add(1, kDeadline);
   reads.BeginRound(kNow);
   CHECK(!reads.RoundTimedOut(kNow));
--- a/tests/system/quorum_diagnosis.h
+++ b/tests/system/quorum_diagnosis.h
@@ -1,5 +1,5 @@
-// Why a table has no quorum, told apart by what the cores log: `store_put_aside` and `store_unavailable`, and
-// `contact`, `member`, `members_alive`, `undecided` and `abandoned` of `figures`
+// Diagnosis of why a table has no quorum, from the same facts that the cores log: `store_put_aside` and
+// `store_unavailable`, and `contact`, `member`, `members_alive`, `undecided` and `abandoned` of `figures`
 // (docs/operate/control-state.md).
 #ifndef IVYGW_TESTS_SYSTEM_QUORUM_DIAGNOSIS_H_
 #define IVYGW_TESTS_SYSTEM_QUORUM_DIAGNOSIS_H_
@@ -12,11 +12,11 @@
 
 enum class QuorumLoss {
   kNone,
-  kNamesLost,         // a store was put aside: LevelDB's files don't fit together
-  kRecordTorn,        // a store was put aside: a record in it is damaged
+  kNamesLost,         // a store was put aside: LevelDB's files are inconsistent
+  kRecordTorn,        // a store was put aside: one of its records is damaged
   kStoreUnavailable,  // a store can't be opened, so its core doesn't run
-  kUndecided,         // a quorum is alive, and doesn't come to a decision
-  kUnreachable,       // cores run and don't reach each other
+  kUndecided,         // a quorum is alive but reaches no decision
+  kUnreachable,       // cores run but don't reach each other
 };
 
 inline const char* NameOf(QuorumLoss loss) {
@@ -31,8 +31,8 @@
   return "";
 }
 
-// As LevelDB words it.
-inline bool IsOfARecord(const std::string& reason) {
+// Whether LevelDB's error message reports a damaged record.
+inline bool IsRecordDamage(const std::string& reason) {
   for (const char* words :
        {"checksum mismatch", "missing start of fragmented record", "partial record", "error in middle"}) {
     if (reason.find(words) != std::string::npos) return true;
@@ -40,8 +40,8 @@
   return false;
 }
 
-// In contact, and coming to decisions: only silence proves that a core has lost contact, and acceptors that
-// answer heartbeats but no proposals are not silent.
+// Whether the core is in contact and reaches decisions. Contact alone is not enough: acceptors that answer
+// heartbeats but no proposals keep it up.
 inline bool Decides(const World& world, const std::string& name) {
   constexpr uint64_t kManyAbandoned = 4;
   return world.Runs(name) && world.HasQuorumContact(name) &&
@@ -64,13 +64,13 @@
   return false;
 }
 
-// Stores first: a core without its store is why others lack a quorum, never the other way round.
+// Checks the stores first: a core without its store can be the cause of a lost quorum, but never its effect.
 inline QuorumLoss DiagnoseQuorumLoss(const World& world) {
   if (AnyDecides(world)) return QuorumLoss::kNone;
   for (const std::string& name : world.Machines()) {
     const StoreOnDisk* store = world.store(name);
     if (!store || store->put_aside().empty()) continue;
-    return IsOfARecord(store->put_aside()) ? QuorumLoss::kRecordTorn : QuorumLoss::kNamesLost;
+    return IsRecordDamage(store->put_aside()) ? QuorumLoss::kRecordTorn : QuorumLoss::kNamesLost;
   }
   for (const std::string& name : world.Machines()) {
     const StoreOnDisk* store = world.store(name);
@@ -79,7 +79,7 @@
   return AnyQuorumAlive(world) ? QuorumLoss::kUndecided : QuorumLoss::kUnreachable;
 }
 
-// The figures that it goes by, a core each.
+// Describes the state of each core that the diagnosis is based on.
 inline std::string FiguresOfCores(const World& world) {
   std::string text;
   for (const std::string& name : world.Machines()) {
--- a/tests/system/simulated_disk.h
+++ b/tests/system/simulated_disk.h
@@ -1,4 +1,4 @@
-// The disk of one simulated machine: batches are given, then written, then durable, always in order.
+// The disk of a simulated machine. Batches are queued, then written, then durable, always in order.
 #ifndef IVYGW_TESTS_SYSTEM_SIMULATED_DISK_H_
 #define IVYGW_TESTS_SYSTEM_SIMULATED_DISK_H_
 
@@ -13,30 +13,31 @@
 
 namespace ivygw::control_sim {
 
-// A real store on the disk of a simulated machine, beside the model of what the disk must hold.
+// A real store on the disk of a simulated machine, in addition to the model of its content.
 class StoreOnDisk {
  public:
   virtual ~StoreOnDisk() = default;
-  // What a process that starts now reads; none where the store can't be opened. `founders`: the members of
-  // the first epoch, where a new store is to be that of one of them.
+  // Returns the state that a starting process reads, or nullopt if the store can't be opened. `founders`: the
+  // members of the first epoch, if a new store would belong to one of them.
   virtual std::optional<replication::LoadedState> Open(
       const std::optional<replication::Membership>& founders) = 0;
-  // Writes and syncs all of these; false where the disk refuses, which may leave any of them there.
+  // Writes and syncs all of these. Returns false if the disk refuses; any of the batches may have been
+  // written then.
   virtual bool Write(const std::vector<replication::StoreBatch>& batches) = 0;
-  // The process ends; it may have been writing these.
-  virtual void ProcessEnds(const std::vector<replication::StoreBatch>& unwritten) = 0;
-  // The power ends, after the process.
-  virtual void PowerEnds() = 0;
-  // The disk is replaced by an empty one.
+  // The process ends, possibly while writing these batches.
+  virtual void OnProcessEnd(const std::vector<replication::StoreBatch>& unwritten) = 0;
+  // Power is lost after the process has ended.
+  virtual void OnPowerLoss() = 0;
+  // Replaces the disk by an empty one.
   virtual void Lose() = 0;
   virtual void Refuse(bool refuses) = 0;
-  // Why a store of this disk was put aside as damaged; empty: none was.
+  // Why a store of this disk was put aside as damaged; empty if none was.
   virtual const std::string& put_aside() const = 0;
-  // Why the last Open failed; empty: it did not.
+  // Why the last Open failed; empty if it succeeded.
   virtual const std::string& opening_error() const = 0;
 };
 
-// What a disk holds of one replicated table.
+// The content of a disk for one replicated table.
 struct DiskImage {
   replication::DurableState state;
   std::optional<replication::AcceptedChange> accepted;
@@ -61,41 +62,41 @@
   SimulatedDisk() = default;
   explicit SimulatedDisk(DiskImage image) : durable_(std::move(image)) {}
 
-  void Give(replication::StoreBatch batch) { given_.push_back(std::move(batch)); }
-  size_t given() const { return given_.size(); }
-  bool SyncIsGiven() const {
-    for (const replication::StoreBatch& batch : given_) {
+  void Enqueue(replication::StoreBatch batch) { queued_.push_back(std::move(batch)); }
+  size_t queued() const { return queued_.size(); }
+  bool SyncIsQueued() const {
+    for (const replication::StoreBatch& batch : queued_) {
       if (batch.sync) return true;
     }
     return false;
   }
-  const std::deque<replication::StoreBatch>& given_batches() const { return given_; }
+  const std::deque<replication::StoreBatch>& queued_batches() const { return queued_; }
 
-  // Writes the oldest `count` given batches as one group; all up to the last one that asks for a sync are
-  // durable then. Returns their numbers.
+  // Writes the oldest `count` queued batches as one group. All up to the last one with `sync` set become
+  // durable. Returns the numbers of the written batches.
   std::vector<uint64_t> Write(size_t count) {
     std::vector<uint64_t> numbers;
     size_t durable = 0;
     for (size_t i = 0; i < count; ++i) {
-      numbers.push_back(given_.front().number);
-      written_.push_back(std::move(given_.front()));
-      given_.pop_front();
+      numbers.push_back(queued_.front().number);
+      written_.push_back(std::move(queued_.front()));
+      queued_.pop_front();
       if (written_.back().sync) durable = written_.size();
     }
     MakeDurable(durable);
     return numbers;
   }
 
-  // The process ends: what was written stays, and the first `kept` of what was given.
-  void ProcessEnds(size_t kept) {
+  // The process ends. Written batches stay, and so do the first `kept` queued ones.
+  void OnProcessEnd(size_t kept) {
     for (; kept > 0; --kept) {
-      written_.push_back(std::move(given_.front()));
-      given_.pop_front();
+      written_.push_back(std::move(queued_.front()));
+      queued_.pop_front();
     }
-    given_.clear();
+    queued_.clear();
   }
-  // The power ends, after the process: of what isn't durable the first `kept` batches stay.
-  void PowerEnds(size_t kept) {
+  // Power is lost after the process has ended. Of the batches that aren't durable the first `kept` stay.
+  void OnPowerLoss(size_t kept) {
     MakeDurable(kept);
     written_.clear();
   }
@@ -103,12 +104,12 @@
   void SyncAll() { MakeDurable(written_.size()); }
 
   const DiskImage& durable() const { return durable_; }
-  // What a process that starts now reads. It is durable then, as opening the store syncs it.
+  // Returns what a starting process reads. All of it becomes durable, as opening a store syncs it.
   const DiskImage& Open() {
     MakeDurable(written_.size());
     return durable_;
   }
-  // What it would read.
+  // Returns what a starting process would read.
   DiskImage Read() const {
     DiskImage image = durable_;
     for (const replication::StoreBatch& batch : written_) image.Apply(batch);
@@ -124,7 +125,7 @@
   }
 
   DiskImage durable_;
-  std::deque<replication::StoreBatch> written_, given_;
+  std::deque<replication::StoreBatch> written_, queued_;
 };
 
 }  // namespace ivygw::control_sim
--- a/tests/system/stored_disk.h
+++ b/tests/system/stored_disk.h
@@ -1,5 +1,5 @@
-// The disk of a simulated machine, with a real store of a table (storage::TableDisk) on it. It loses power as
-// it is told, may refuse all writes for a while, and a process may end in the middle of a write.
+// The disk of a simulated machine, with a real store of a table (storage::TableDisk). Simulates losses of
+// power, periods in which it refuses all writes, and processes that end in the middle of a write.
 #ifndef IVYGW_TESTS_SYSTEM_STORED_DISK_H_
 #define IVYGW_TESTS_SYSTEM_STORED_DISK_H_
 
@@ -25,7 +25,7 @@
  public:
   StoredDisk(uint64_t seed, testing::PowerLoss loss) : loss_(loss), random_(seed) {
     std::string name = std::filesystem::temp_directory_path() / "ivygw_stored_disk.XXXXXX";
-    if (!mkdtemp(name.data())) throw std::runtime_error("no folder for a simulated disk");
+    if (!mkdtemp(name.data())) throw std::runtime_error("can't create a folder for a simulated disk");
     root_ = name;
     UseFolder(NextFolder());
   }
@@ -43,7 +43,7 @@
     if (!opened) return std::nullopt;
     if (!opened->unreadable.empty()) {
       put_aside_ = opened->unreadable;
-      // The folder is another one now, and all in it is on disk.
+      // The store was put aside and replaced; the new folder is fully on disk.
       store_.reset();
       UseFolder(folder_);
       opened = TryOpen(std::nullopt);
@@ -52,18 +52,18 @@
     return std::move(opened->loaded);
   }
   bool Write(const std::vector<replication::StoreBatch>& batches) override { return !store_->Write(batches); }
-  void ProcessEnds(const std::vector<replication::StoreBatch>& unwritten) override {
+  void OnProcessEnd(const std::vector<replication::StoreBatch>& unwritten) override {
     if (!store_) return;
     bool writing = !unwritten.empty() && random_() % 2 == 0;
     if (writing) {
-      constexpr uint64_t kMostActsOfAWrite = 5;
-      env_->Refuse(kForGood, static_cast<int>(random_() % kMostActsOfAWrite));
+      constexpr uint64_t kMaxOperationsOfAWrite = 5;
+      env_->Refuse(kForGood, static_cast<int>(random_() % kMaxOperationsOfAWrite));
       store_->Write(unwritten);
     }
     store_.reset();
     env_->Refuse(refuses_ ? kForGood : 0, 0);
   }
-  void PowerEnds() override {
+  void OnPowerLoss() override {
     std::string next = NextFolder();
     env_->CopyAsAfterPowerLoss(next, loss_);
     UseFolder(next);
@@ -115,7 +115,7 @@
   std::unique_ptr<storage::TableDisk> store_;
 };
 
-inline StoreFactory StoredDisks(uint64_t seed, testing::PowerLoss loss) {
+inline StoreFactory StoredDiskFactory(uint64_t seed, testing::PowerLoss loss) {
   return [seed, loss](const std::string& machine) {
     return std::make_unique<StoredDisk>(seed * 16 + static_cast<uint64_t>(machine.back()), loss);
   };
