--- a/system/decisions/replication/command_policy.cpp
+++ b/system/decisions/replication/command_policy.cpp
@@ -19,37 +19,37 @@
   if (past->size() > kMaxPastVersions) past->erase(past->begin());
 }
 
-ItemEvaluation EvaluateOlderVersion(const Item& item, const Record& standing) {
+ItemEvaluation EvaluateOlderVersion(const Item& item, const Record& current) {
   using Kind = Evaluation::Kind;
-  for (const PastVersion& past : standing.past) {
+  for (const PastVersion& past : current.past) {
     if (past.version != item.version) continue;
     return {past.digest == DigestOf(item) ? Kind::kAlreadyApplied : Kind::kRejected, false, {}};
   }
   bool may_be_forgotten =
-      standing.past.size() >= kMaxPastVersions && item.version < standing.past.front().version;
+      current.past.size() >= kMaxPastVersions && item.version < current.past.front().version;
   if (may_be_forgotten) return {Kind::kIndeterminate, false, {}};
   // The version was never used. Its content has no effect, as a newer version exists, but the version is
   // recorded so that it can't be acknowledged with different content later.
-  ItemEvaluation evaluation{Kind::kApply, false, standing};
+  ItemEvaluation evaluation{Kind::kApply, false, current};
   Remember({item.version, DigestOf(item)}, &evaluation.record.past);
   return evaluation;
 }
 
 }  // namespace
 
-ItemEvaluation EvaluateItem(const Item& item, const Record* standing, bool keep_past) {
+ItemEvaluation EvaluateItem(const Item& item, const Record* current, bool keep_past) {
   using Kind = Evaluation::Kind;
-  if (!standing) return {Kind::kApply, true, {item, 0, {}}};
-  if (item.version > standing->item.version) {
+  if (!current) return {Kind::kApply, true, {item, 0, {}}};
+  if (item.version > current->item.version) {
     ItemEvaluation evaluation{Kind::kApply, true, {item, 0, {}}};
     if (!keep_past) return evaluation;
-    evaluation.record.past = standing->past;
-    Remember({standing->item.version, DigestOf(standing->item)}, &evaluation.record.past);
+    evaluation.record.past = current->past;
+    Remember({current->item.version, DigestOf(current->item)}, &evaluation.record.past);
     return evaluation;
   }
   if (!keep_past) return {Kind::kAlreadyApplied, false, {}};
-  if (item.version < standing->item.version) return EvaluateOlderVersion(item, *standing);
-  return {SameContent(item, standing->item) ? Kind::kAlreadyApplied : Kind::kRejected, false, {}};
+  if (item.version < current->item.version) return EvaluateOlderVersion(item, *current);
+  return {SameContent(item, current->item) ? Kind::kAlreadyApplied : Kind::kRejected, false, {}};
 }
 
 }  // namespace ivygw::replication
--- a/system/decisions/replication/command_policy.h
+++ b/system/decisions/replication/command_policy.h
@@ -57,9 +57,9 @@
   bool replaces = false;  // the item's content takes effect; otherwise only its version is remembered
   Record record;
 };
-// `standing` is the current record of the item's key, or null. With `keep_past`, callers choose versions
+// `current` is the current record of the item's key, or null. With `keep_past`, callers choose versions
 // freely, so acknowledged versions are remembered with digests of their content.
-ItemEvaluation EvaluateItem(const Item& item, const Record* standing, bool keep_past);
+ItemEvaluation EvaluateItem(const Item& item, const Record* current, bool keep_past);
 
 // The maximum number of earlier versions of an item that are remembered.
 inline constexpr size_t kMaxPastVersions = 256;
--- a/system/decisions/replication/command_queue.cpp
+++ b/system/decisions/replication/command_queue.cpp
@@ -98,8 +98,8 @@
                                                   const Command& command) const {
   bool any = false;
   for (const Item& tombstone : command.prunes) {
-    const Record* standing = overlay.Find(tombstone.key);
-    bool removable = standing && standing->item.dropped && standing->item.version == tombstone.version &&
+    const Record* current = overlay.Find(tombstone.key);
+    bool removable = current && current->item.dropped && current->item.version == tombstone.version &&
                      overlay.written().count(tombstone.key) == 0;
     if (removable) change->pruned.push_back(tombstone.key);
     any = any || removable;
--- a/system/decisions/replication/replica_catch_up.cpp
+++ b/system/decisions/replication/replica_catch_up.cpp
@@ -51,16 +51,16 @@
 
 void Replica::AddRecords(const CatchUp& completed, StoreBatch* batch, Effects* out) {
   for (const auto& [key, record] : completed.records()) {
-    const Record* standing = table_.Find(key);
-    if (standing && standing->revision >= record.revision) continue;
+    const Record* current = table_.Find(key);
+    if (current && current->revision >= record.revision) continue;
     table_.Put(record);
     policy_->OnRecord(record);
     batch->records.push_back(record);
     out->changed.push_back(key);
   }
   for (const auto& [key, revision] : completed.pruned()) {
-    const Record* standing = table_.Find(key);
-    if (completed.reset() || (standing && standing->revision > revision)) continue;
+    const Record* current = table_.Find(key);
+    if (completed.reset() || (current && current->revision > revision)) continue;
     table_.Erase(key, revision);
     policy_->OnErased(key);
     batch->erased.push_back(key);
--- a/tests/system/control_rules.cpp
+++ b/tests/system/control_rules.cpp
@@ -189,8 +189,8 @@
     ReportViolation("not done, and applied at " + core + ": " + Describe(item));
   for (const Item& other : command.items) {
     if (pruned_versions_.contains(other.key)) continue;
-    const Record* standing = replica.table().Find(other.key);
-    if (standing && (standing->item == other || standing->item.version > other.version)) continue;
+    const Record* current = replica.table().Find(other.key);
+    if (current && (current->item == other || current->item.version > other.version)) continue;
     ReportViolation("at " + core + " applied without the rest of its command: " + Describe(item));
   }
 }
--- a/tests/system/control_sim.cpp
+++ b/tests/system/control_sim.cpp
@@ -646,9 +646,9 @@
   for (const auto& [at, revision] : decided_at_) {
     if (at < now_ - kMaxLearnerLag) decided = revision;
   }
-  const std::vector<Member>& standing = machines_.at(proposer).replica->membership().members;
+  const std::vector<Member>& current = machines_.at(proposer).replica->membership().members;
   for (const Member& member : next.members) {
-    bool stays = std::any_of(standing.begin(), standing.end(),
+    bool stays = std::any_of(current.begin(), current.end(),
                              [&](const Member& other) { return other.SameStore(member); });
     const DiskImage* image = FindStore(member, true);
     if (stays || (image && image->state.revision >= decided)) continue;
--- a/tests/system/control_sim.h
+++ b/tests/system/control_sim.h
@@ -39,8 +39,8 @@
   bool Knows(const replication::Table& table) const;
 
  protected:
-  virtual replication::ItemEvaluation EvaluateOne(const Item& item, const Record* standing) const {
-    return replication::EvaluateItem(item, standing, keep_past_);
+  virtual replication::ItemEvaluation EvaluateOne(const Item& item, const Record* current) const {
+    return replication::EvaluateItem(item, current, keep_past_);
   }
 
  private:
--- a/tests/system/control_test.cpp
+++ b/tests/system/control_test.cpp
@@ -735,8 +735,8 @@
 // The version rules for single items: each version is confirmed for one content only.
 TEST(Control, OneContentANumber) {
   using Kind = replication::Evaluation::Kind;
-  auto evaluate = [](const Item& item, const Record* standing) {
-    return replication::EvaluateItem(item, standing, true);
+  auto evaluate = [](const Item& item, const Record* current) {
+    return replication::EvaluateItem(item, current, true);
   };
   Item three{"k", 3, false, "x"}, other{"k", 3, false, "y"}, dropped{"k", 3, true, ""},
       four{"k", 4, false, "x"}, two{"k", 2, false, "z"};
@@ -792,8 +792,8 @@
 class ConfirmsConflicts : public SimulatedPolicy {
  public:
   ConfirmsConflicts() : SimulatedPolicy(true, 1) {}
-  replication::ItemEvaluation EvaluateOne(const Item& item, const Record* standing) const override {
-    replication::ItemEvaluation evaluation = SimulatedPolicy::EvaluateOne(item, standing);
+  replication::ItemEvaluation EvaluateOne(const Item& item, const Record* current) const override {
+    replication::ItemEvaluation evaluation = SimulatedPolicy::EvaluateOne(item, current);
     if (evaluation.kind == replication::Evaluation::Kind::kRejected)
       evaluation.kind = replication::Evaluation::Kind::kAlreadyApplied;
     return evaluation;
@@ -802,8 +802,8 @@
 class ForgetsPastVersions : public SimulatedPolicy {
  public:
   ForgetsPastVersions() : SimulatedPolicy(true, 1) {}
-  replication::ItemEvaluation EvaluateOne(const Item& item, const Record* standing) const override {
-    replication::ItemEvaluation evaluation = SimulatedPolicy::EvaluateOne(item, standing);
+  replication::ItemEvaluation EvaluateOne(const Item& item, const Record* current) const override {
+    replication::ItemEvaluation evaluation = SimulatedPolicy::EvaluateOne(item, current);
     evaluation.record.past.clear();
     return evaluation;
   }
@@ -818,9 +818,9 @@
 class RejectsRepeatedCommands : public SimulatedPolicy {
  public:
   RejectsRepeatedCommands() : SimulatedPolicy(true, 1) {}
-  replication::ItemEvaluation EvaluateOne(const Item& item, const Record* standing) const override {
-    replication::ItemEvaluation evaluation = SimulatedPolicy::EvaluateOne(item, standing);
-    bool repeated = standing && item.version < standing->item.version;
+  replication::ItemEvaluation EvaluateOne(const Item& item, const Record* current) const override {
+    replication::ItemEvaluation evaluation = SimulatedPolicy::EvaluateOne(item, current);
+    bool repeated = current && item.version < current->item.version;
     if (repeated) evaluation.kind = replication::Evaluation::Kind::kRejected;
     return evaluation;
   }
