--- a/system/decisions/load_balancing/pool.cpp
+++ b/system/decisions/load_balancing/pool.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-void Pool::Fold(double now, const messages::Item& item) {
+void Pool::ApplyItem(double now, const messages::Item& item) {
   size_t slash = item.key.find('/');
   std::string id = item.key.substr(slash + 1);
   discovery::Backend told;
@@ -27,7 +27,7 @@
   } else {
     if (it != seen_.end() && it->second.backend.service != told.service)
       services_[it->second.backend.service].erase(id);
-    Seen& seen = seen_[id];
+    BackendState& seen = seen_[id];
     seen.backend = told;
     seen.warm_until = told.warmup_left_ms > 0 ? now + told.warmup_left_ms / 1000.0 : 0;
     services_[told.service].insert(id);
@@ -36,7 +36,7 @@
   dealt_ = false;
 }
 
-void Pool::OnMembers(const std::vector<messages::GatewayInfo>& members, const std::string& self) {
+void Pool::SetGateways(const std::vector<messages::GatewayInfo>& members, const std::string& self) {
   if (members == members_ && self == self_) return;
   members_ = members;
   self_ = self;
@@ -59,12 +59,12 @@
   if (!member) return;
   size_t place = static_cast<size_t>(std::find(peers.begin(), peers.end(), self_) - peers.begin());
   for (const auto& [service, ids] : services_) {
-    std::vector<Seen*> slots;
+    std::vector<BackendState*> slots;
     int most = 0;
     for (const std::string& id : ids) most = std::max(most, seen_.at(id).backend.slot_count);
     for (int round = 0; round < most; ++round) {
       for (const std::string& id : ids) {
-        Seen& seen = seen_.at(id);
+        BackendState& seen = seen_.at(id);
         if (seen.backend.zone != zone_ || round >= seen.backend.slot_count || seen.backend.draining ||
             seen.gone)
           continue;
@@ -78,10 +78,10 @@
 }
 
 // What is expected of a place there, in parts of a usual request's time.
-double Pool::Cost(double now, const Seen& seen) const {
+double Pool::Cost(double now, const BackendState& seen) const {
   double slots = seen.backend.slot_count;
-  double cost = seen.out < seen.own ? 0 : 0.5 + (seen.out - seen.own) / slots;
-  if (seen.out >= seen.backend.slot_count) cost += 1;
+  double cost = seen.active_requests < seen.own ? 0 : 0.5 + (seen.active_requests - seen.own) / slots;
+  if (seen.active_requests >= seen.backend.slot_count) cost += 1;
   if (now < seen.warm_until) cost += kSlow - 1;
   if (now < seen.full_until) cost += 2;
   if (seen.backend.zone != zone_) cost += kFar;
@@ -97,7 +97,7 @@
   std::uniform_real_distribution<double> chance(0, 0.3);
   for (bool avoided : {false, true}) {
     for (const std::string& id : it->second) {
-      const Seen& seen = seen_.at(id);
+      const BackendState& seen = seen_.at(id);
       if (seen.gone || seen.backend.draining || tried.count(id)) continue;
       if (!avoided && now < seen.avoid_until) continue;
       double cost = Cost(now, seen) + chance(dice_) + (avoided ? seen.avoid_until - now : 0);
@@ -111,33 +111,33 @@
   return best;
 }
 
-void Pool::OnSent(const std::string& id) {
+void Pool::OnAttemptStarted(const std::string& id) {
   auto it = seen_.find(id);
-  if (it != seen_.end()) ++it->second.out;
+  if (it != seen_.end()) ++it->second.active_requests;
 }
 
-void Pool::OnMet(double now, const std::string& id, Met met) {
+void Pool::OnAttemptEnded(double now, const std::string& id, AttemptResult result) {
   auto it = seen_.find(id);
   if (it == seen_.end()) return;
-  Seen& seen = it->second;
-  if (seen.out > 0) --seen.out;
-  switch (met) {
-    case Met::kServed:
+  BackendState& seen = it->second;
+  if (seen.active_requests > 0) --seen.active_requests;
+  switch (result) {
+    case AttemptResult::kServed:
       seen.failures = 0;
       seen.avoid_until = 0;
       break;
-    case Met::kFailed:
-    case Met::kLeft: break;
-    case Met::kFull: seen.full_until = now + kFullFor; break;
-    case Met::kGone:
+    case AttemptResult::kErrorStatus:
+    case AttemptResult::kCancelled: break;
+    case AttemptResult::kOverloaded: seen.full_until = now + kFullFor; break;
+    case AttemptResult::kMisdirected:
       seen.gone = true;
       dealt_ = false;
       break;
-    case Met::kRefusedConnection:
-    case Met::kSilent:
-    case Met::kBroken: {
+    case AttemptResult::kConnectionRefused:
+    case AttemptResult::kTimedOut:
+    case AttemptResult::kBroken: {
       ++seen.failures;
-      if (met == Met::kBroken && seen.failures < 2) break;  // one broken answer tells little
+      if (result == AttemptResult::kBroken && seen.failures < 2) break;  // one broken answer tells little
       double pause = std::min(kAvoidFirst * std::pow(2, seen.failures - 1), kAvoidLongest);
       seen.avoid_until = now + pause;
       break;
@@ -145,13 +145,14 @@
   }
 }
 
-const Seen* Pool::Find(const std::string& id) const {
+const BackendState* Pool::Find(const std::string& id) const {
   auto it = seen_.find(id);
   return it == seen_.end() ? nullptr : &it->second;
 }
-bool Pool::Idle(const std::string& id) const {
+bool Pool::IsDrained(const std::string& id) const {
   auto it = seen_.find(id);
-  return it == seen_.end() || (it->second.out == 0 && (it->second.gone || it->second.backend.draining));
+  return it == seen_.end() ||
+         (it->second.active_requests == 0 && (it->second.gone || it->second.backend.draining));
 }
 
 }  // namespace ivygw::load_balancing
--- a/system/decisions/load_balancing/pool.h
+++ b/system/decisions/load_balancing/pool.h
@@ -21,11 +21,20 @@
 namespace ivygw::load_balancing {
 
 // How an attempt ended, as far as its backend is concerned.
-enum class Met { kServed, kFailed, kFull, kGone, kRefusedConnection, kSilent, kBroken, kLeft };
+enum class AttemptResult {
+  kServed,
+  kErrorStatus,
+  kOverloaded,
+  kMisdirected,
+  kConnectionRefused,
+  kTimedOut,
+  kBroken,
+  kCancelled
+};
 
-struct Seen {
+struct BackendState {
   discovery::Backend backend;
-  int out = 0;  // attempts of this gateway
+  int active_requests = 0;  // attempts of this gateway
   double warm_until = 0;
   double avoid_until = 0;  // after failures
   double full_until = 0;   // it said that it had no room
@@ -38,25 +47,25 @@
  public:
   explicit Pool(uint64_t seed, std::string zone) : zone_(std::move(zone)), dice_(seed) {}
 
-  void Fold(double now, const messages::Item& item);
+  void ApplyItem(double now, const messages::Item& item);
   // The gateways that there are, this one by its place among them.
-  void OnMembers(const std::vector<messages::GatewayInfo>& members, const std::string& self);
+  void SetGateways(const std::vector<messages::GatewayInfo>& members, const std::string& self);
 
   // Where a request for the service should go now; empty where nobody can take it. `tried` are left out.
   std::string Choose(double now, const std::string& service, const std::set<std::string>& tried);
-  void OnSent(const std::string& id);
-  void OnMet(double now, const std::string& id, Met met);
+  void OnAttemptStarted(const std::string& id);
+  void OnAttemptEnded(double now, const std::string& id, AttemptResult result);
 
-  const Seen* Find(const std::string& id) const;
+  const BackendState* Find(const std::string& id) const;
   // Those that are no longer sent anything, with nothing out: their connections may go.
-  bool Idle(const std::string& id) const;
+  bool IsDrained(const std::string& id) const;
 
  private:
   void Deal();
-  double Cost(double now, const Seen& seen) const;
+  double Cost(double now, const BackendState& seen) const;
   const std::string zone_;
   std::mt19937_64 dice_;
-  std::map<std::string, Seen> seen_;                       // by id
+  std::map<std::string, BackendState> seen_;               // by id
   std::map<std::string, std::set<std::string>> services_;  // ids of each
   std::vector<messages::GatewayInfo> members_;
   std::string self_;
--- a/system/decisions/load_balancing/budget.h
+++ b/system/decisions/load_balancing/retry_budget.h
@@ -1,6 +1,6 @@
-// Budget. How many further tries of requests may be made. Pure.
-#ifndef IVYGW_SYSTEM_LOAD_BALANCING_BUDGET_H_
-#define IVYGW_SYSTEM_LOAD_BALANCING_BUDGET_H_
+// RetryBudget. How many further tries of requests may be made. Pure.
+#ifndef IVYGW_SYSTEM_LOAD_BALANCING_RETRY_BUDGET_H_
+#define IVYGW_SYSTEM_LOAD_BALANCING_RETRY_BUDGET_H_
 
 #include <cstdint>
 #include <deque>
@@ -11,20 +11,21 @@
 
 // The budget of further tries of each service, kept by each gateway for itself: a part of its own requests,
 // and an even part of the slack that all gateways have together.
-class Budget {
+class RetryBudget {
  public:
   // `ratio`, `window_s`, `slack`: as the operators state them, for all gateways together.
-  Budget(double ratio, double window_s, double slack) : ratio_(ratio), window_s_(window_s), slack_(slack) {}
-  void OnMembers(size_t gateways) { gateways_ = gateways; }
+  RetryBudget(double ratio, double window_s, double slack)
+      : ratio_(ratio), window_s_(window_s), slack_(slack) {}
+  void SetGatewayCount(size_t gateways) { gateways_ = gateways; }
   void OnRequest(double now, const std::string& service) { Of(now, service).requests.push_back(now); }
-  bool May(double now, const std::string& service) {
+  bool MayRetry(double now, const std::string& service) {
     Use& use = Of(now, service);
     // Windows slide: requests of the window count, further tries of one and a half.
     double most = kOfRatio * ratio_ * static_cast<double>(use.requests.size()) +
                   kOfSlack * slack_ / static_cast<double>(gateways_ + kJoiners);
     return static_cast<double>(use.tries.size()) + 1 <= most;
   }
-  void OnTry(double now, const std::string& service) { Of(now, service).tries.push_back(now); }
+  void OnRetry(double now, const std::string& service) { Of(now, service).tries.push_back(now); }
 
  private:
   static constexpr double kOfRatio = 0.8, kOfSlack = 0.8;
@@ -45,4 +46,4 @@
 
 }  // namespace ivygw::load_balancing
 
-#endif  // IVYGW_SYSTEM_LOAD_BALANCING_BUDGET_H_
+#endif  // IVYGW_SYSTEM_LOAD_BALANCING_RETRY_BUDGET_H_
--- a/system/decisions/rate_limit/admission.cpp
+++ b/system/decisions/rate_limit/admission.cpp
@@ -100,7 +100,7 @@
   return std::clamp(kSpread * behind / flow, 0.2, kLongestWait);
 }
 
-Verdict Admission::Ask(double now, const config_model::Tenant& tenant) {
+AdmissionDecision Admission::OnRequest(double now, const config_model::Tenant& tenant) {
   if (tenant.rate_per_s <= 0) return {};
   auto [it, fresh] = buckets_.try_emplace(tenant.name);
   Bucket& bucket = it->second;
@@ -125,7 +125,7 @@
   return Take(now, &bucket);
 }
 
-Verdict Admission::Again(double now, const std::string& tenant) {
+AdmissionDecision Admission::RetryPending(double now, const std::string& tenant) {
   auto it = buckets_.find(tenant);
   if (it == buckets_.end()) return {false, false, kComeBack};
   Bucket& bucket = it->second;
@@ -133,18 +133,18 @@
   return Take(now, &bucket);
 }
 
-void Admission::GiveUp(const std::string& tenant) {
+void Admission::CancelPending(const std::string& tenant) {
   auto it = buckets_.find(tenant);
   if (it != buckets_.end() && it->second.pending > 0) --it->second.pending;
 }
 
-Verdict Admission::Take(double now, Bucket* bucket) {
+AdmissionDecision Admission::Take(double now, Bucket* bucket) {
   Refill(now, bucket);
   Window(now, bucket);
   double length = std::max(bucket->burst, 1.0) / bucket->rate;
   double left = bucket->store + bucket->rate * length - bucket->window_total - bucket->newer;
   if (bucket->counting && left < 1) {
-    ++figures_.by_counter;
+    ++counters_.rejected_by_counter;
     return {false, false, std::max(kComeBack, bucket->window_from + length - now)};
   }
   bool drawn_tenants = now <= bucket->batch_requested_at + kAnswered;
@@ -153,25 +153,25 @@
     // now it is no.
     if (!IsIsolated(now) && now >= bucket->pools_empty_until) {
       ++bucket->pending;
-      urgent_ = urgent_ || !drawn_tenants;
+      needs_tokens_ = needs_tokens_ || !drawn_tenants;
       return {false, true, 0};
     }
-    ++(IsIsolated(now) ? figures_.by_isolation : figures_.by_bucket);
+    ++(IsIsolated(now) ? counters_.rejected_by_isolation : counters_.rejected_by_bucket);
     return {false, false, RetryAfter(now, *bucket)};
   }
   bucket->tokens -= 1;
   if (Shortfall(now, *bucket) > 0.5 * Store(now, *bucket) && !drawn_tenants &&
       now >= bucket->pools_empty_until)
-    urgent_ = true;
+    needs_tokens_ = true;
   bucket->newer += 1;
   ++bucket->admitted;
-  ++figures_.admitted;
+  ++counters_.admitted;
   return {};
 }
 
-messages::UsageReport Admission::Report(double now, const std::string& core, size_t allocators, bool all,
-                                        bool draw) {
-  if (draw) urgent_ = false;
+messages::UsageReport Admission::BuildReport(double now, const std::string& core, size_t allocators, bool all,
+                                             bool draw) {
+  if (draw) needs_tokens_ = false;
   messages::UsageReport report;
   report.number = ++last_report_;
   OutstandingReport& out = reports_[report.number];
@@ -243,7 +243,7 @@
       }
       bool short_of = bucket.tokens < std::max(1.0, static_cast<double>(bucket.pending));
       if (short_of && ++bucket.draws < kDraws) {
-        urgent_ = true;
+        needs_tokens_ = true;
       } else if (short_of) {
         bucket.pools_empty_until = now + kDry;
       }
@@ -282,6 +282,6 @@
   }
 }
 
-Admission::Figures Admission::figures() const { return figures_; }
+Admission::Counters Admission::counters() const { return counters_; }
 
 }  // namespace ivygw::rate_limit
--- a/system/decisions/rate_limit/admission.h
+++ b/system/decisions/rate_limit/admission.h
@@ -28,10 +28,10 @@
 namespace ivygw::rate_limit {
 
 // Whether a request may pass.
-struct Verdict {
+struct AdmissionDecision {
   bool admitted = true;
-  // Its token has been requested from a core's pool: Again decides once grants have come, at the latest after
-  // kTokenTimeout.
+  // Its token has been requested from a core's pool: RetryPending decides once grants have come, at the
+  // latest after kTokenTimeout.
   bool pending = false;
   double retry_after_s = 0;  // of a rejected one
 };
@@ -48,35 +48,36 @@
   explicit Admission(AdmissionOptions options) : options_(options) {}
 
   // A request of this tenant has arrived.
-  Verdict Ask(double now, const config_model::Tenant& tenant);
+  AdmissionDecision OnRequest(double now, const config_model::Tenant& tenant);
   // Decides once more on a request that was pending.
-  Verdict Again(double now, const std::string& tenant);
+  AdmissionDecision RetryPending(double now, const std::string& tenant);
   // A request that was pending waits no longer.
-  void GiveUp(const std::string& tenant);
+  void CancelPending(const std::string& tenant);
   // A backend has served a request.
   void OnServed() { ++served_; }
   // A backend had no room, or latencies are past their target.
   void OnOverload() { overloaded_ = true; }
 
   // How many gateways there are.
-  void OnMembers(size_t gateways) { gateways_ = gateways; }
+  void SetGatewayCount(size_t gateways) { gateways_ = gateways; }
   // How many cores that allocate are connected.
-  void OnAllocators(size_t connected) { no_allocator_ = connected == 0; }
+  void SetAllocatorCount(size_t connected) { no_allocator_ = connected == 0; }
   // The report to a core. `all`: of all tenants, else of those alone that are short of tokens now. `draw`:
   // requests tokens from this core's pool.
-  messages::UsageReport Report(double now, const std::string& core, size_t allocators, bool all, bool draw);
+  messages::UsageReport BuildReport(double now, const std::string& core, size_t allocators, bool all,
+                                    bool draw);
   void OnGrants(double now, const std::string& core, const messages::QuotaGrants& grants);
   // Notices that no core answers any more. Some ten times a second.
   void OnTime(double now);
   // A tenant's bucket has run low, and nothing has been asked for it yet.
-  bool urgent() const { return urgent_; }
+  bool needs_tokens() const { return needs_tokens_; }
 
-  struct Figures {
+  struct Counters {
     uint64_t admitted = 0;
     // Refused: by the bucket while cores answer, by the bucket while none does, by the counter.
-    uint64_t by_bucket = 0, by_isolation = 0, by_counter = 0;
+    uint64_t rejected_by_bucket = 0, rejected_by_isolation = 0, rejected_by_counter = 0;
   };
-  Figures figures() const;
+  Counters counters() const;
 
  private:
   struct LeasedShare {
@@ -110,7 +111,7 @@
     double counter_until = 0;  // without a word of it, another's do
   };
   void Refill(double now, Bucket* bucket);
-  Verdict Take(double now, Bucket* bucket);
+  AdmissionDecision Take(double now, Bucket* bucket);
   bool IsIsolated(double now) const {
     return core_answered_at_ < 0 || no_allocator_ || now > core_answered_at_ + kCoreTimeout;
   }
@@ -139,8 +140,8 @@
   uint64_t served_ = 0, served_before_ = 0, requests_sum_ = 0, requests_sum_before_ = 0;
   double tick_ = 0;
   bool no_allocator_ = false;
-  bool overloaded_ = false, overloaded_before_ = false, urgent_ = false;
-  Figures figures_;
+  bool overloaded_ = false, overloaded_before_ = false, needs_tokens_ = false;
+  Counters counters_;
 };
 
 }  // namespace ivygw::rate_limit
--- a/system/decisions/rate_limit/quota_allocator.h
+++ b/system/decisions/rate_limit/quota_allocator.h
@@ -42,7 +42,7 @@
   // Grants only what gateways report to hold already.
   bool Recovering(double now) const;
   // How many that may hold something have not reported since this start.
-  size_t awaited() const { return awaited_holders_.size(); }
+  size_t awaited_holder_count() const { return awaited_holders_.size(); }
 
  private:
   struct Lease {
--- a/system/decisions/request_lifecycle/answer_reading.cpp
+++ b/system/decisions/request_lifecycle/answer_classification.cpp
@@ -1,8 +1,8 @@
-#include "request_lifecycle/answer_reading.h"
+#include "request_lifecycle/answer_classification.h"
 
 namespace ivygw::request_lifecycle {
 
-using load_balancing::Met;
+using load_balancing::AttemptResult;
 
 namespace {
 
@@ -13,27 +13,32 @@
 // Statuses that promise a client that its request has not run.
 bool PromisesNothingRan(unsigned status) { return status == 408 || status == 429 || status == 503; }
 
-AnswerReading Distrusted(Evidence evidence) { return {evidence, Met::kBroken, false, false}; }
+AnswerClassification Distrusted(Evidence evidence) {
+  return {evidence, AttemptResult::kBroken, false, false};
+}
 
 }  // namespace
 
-AnswerReading ReadAnswer(const AnswerFacts& answer) {
+AnswerClassification ClassifyAnswer(const AnswerFacts& answer) {
   if (!IsFinalStatus(answer.status)) return Distrusted(Evidence::kUnidentifiedAnswer);
   if (answer.has_id && !answer.own_id) return Distrusted(Evidence::kForeignAnswer);
   bool turned_away = answer.status == kMisdirected || answer.not_executed;
   if (!answer.own_id) {
     if (!turned_away) return Distrusted(Evidence::kUnidentifiedAnswer);
     // A backend that turns a request away may not have read its id.
-    if (!answer.sole_request) return Distrusted(Evidence::kUnprovenRefusal);
+    if (!answer.sole_request) return Distrusted(Evidence::kUnprovenRejection);
   }
   if (turned_away) {
-    return {Evidence::kTurnedAway, answer.status == kMisdirected ? Met::kGone : Met::kFull, true, false};
+    return {Evidence::kProvenRejection,
+            answer.status == kMisdirected ? AttemptResult::kMisdirected : AttemptResult::kOverloaded, true,
+            false};
   }
   bool success = answer.status / 100 == 2;
   if (answer.encoded || (success && !answer.sealed)) return Distrusted(Evidence::kAlteredAnswer);
-  if (PromisesNothingRan(answer.status)) return {Evidence::kPromiseWithoutProof, Met::kFailed, true, false};
-  if (answer.status >= 500) return {Evidence::kFailureAnswer, Met::kFailed, true, true};
-  return {Evidence::kAnswer, Met::kServed, true, true};
+  if (PromisesNothingRan(answer.status))
+    return {Evidence::kUnprovenPromise, AttemptResult::kErrorStatus, true, false};
+  if (answer.status >= 500) return {Evidence::kErrorAnswer, AttemptResult::kErrorStatus, true, true};
+  return {Evidence::kAnswer, AttemptResult::kServed, true, true};
 }
 
 }  // namespace ivygw::request_lifecycle
--- a/system/decisions/request_lifecycle/answer_reading.h
+++ b/system/decisions/request_lifecycle/answer_classification.h
@@ -1,6 +1,6 @@
 // What an answer on a backend's connection proves about the request that waits there. Pure.
-#ifndef IVYGW_SYSTEM_REQUEST_LIFECYCLE_ANSWER_READING_H_
-#define IVYGW_SYSTEM_REQUEST_LIFECYCLE_ANSWER_READING_H_
+#ifndef IVYGW_SYSTEM_REQUEST_LIFECYCLE_ANSWER_CLASSIFICATION_H_
+#define IVYGW_SYSTEM_REQUEST_LIFECYCLE_ANSWER_CLASSIFICATION_H_
 
 #include "load_balancing/pool.h"
 #include "request_lifecycle/outcome.h"
@@ -18,15 +18,16 @@
   bool sole_request = false;
 };
 
-struct AnswerReading {
+struct AnswerClassification {
   Evidence evidence = Evidence::kUnidentifiedAnswer;
-  load_balancing::Met met = load_balancing::Met::kBroken;  // for the choice of backends
-  bool trusted = false;      // the answer to this request: its connection isn't in doubt
-  bool forwardable = false;  // may go to the client as it stands
+  load_balancing::AttemptResult result =
+      load_balancing::AttemptResult::kBroken;  // for the choice of backends
+  bool trusted = false;                        // the answer to this request: its connection isn't in doubt
+  bool forwardable = false;                    // may go to the client as it stands
 };
 
-AnswerReading ReadAnswer(const AnswerFacts& answer);
+AnswerClassification ClassifyAnswer(const AnswerFacts& answer);
 
 }  // namespace ivygw::request_lifecycle
 
-#endif  // IVYGW_SYSTEM_REQUEST_LIFECYCLE_ANSWER_READING_H_
+#endif  // IVYGW_SYSTEM_REQUEST_LIFECYCLE_ANSWER_CLASSIFICATION_H_
--- a/system/decisions/request_lifecycle/lifecycle.cpp
+++ b/system/decisions/request_lifecycle/lifecycle.cpp
@@ -5,7 +5,7 @@
 
 namespace ivygw::request_lifecycle {
 
-using load_balancing::Met;
+using load_balancing::AttemptResult;
 
 namespace {
 
@@ -43,7 +43,7 @@
   Connection* connection = Find(id);
   Request* request = connection ? Find(connection->request) : nullptr;
   if (!request || !connection->open) {
-    ++counters_.events_of_ended;
+    ++counters_.stale_events;
     if (connection && !request) Close(id, effects);
     return std::nullopt;
   }
@@ -55,7 +55,7 @@
   return it == of_client_.end() ? RequestId() : it->second;
 }
 
-RequestId Lifecycle::Arrive(ClientId client) {
+RequestId Lifecycle::StartRequest(ClientId client) {
   RequestId id{++last_request_};
   requests_[id].client = client;
   of_client_[client] = id;
@@ -65,7 +65,7 @@
 void Lifecycle::On(double now, RequestAdmitted&& event, Effects* effects) {
   Request* request = Find(event.request);
   if (!request || request->phase != Phase::kReceiving) {
-    ++counters_.events_of_ended;
+    ++counters_.stale_events;
     return;
   }
   request->attempt_id = std::move(event.attempt_id);
@@ -80,7 +80,7 @@
 void Lifecycle::On(double, const RequestRejected& event, Effects* effects) {
   Request* request = Find(event.request);
   if (!request || request->phase != Phase::kReceiving) {
-    ++counters_.events_of_ended;
+    ++counters_.stale_events;
     return;
   }
   if (std::optional<NotDone> proof = request->record.NothingDone()) {
@@ -93,7 +93,7 @@
 void Lifecycle::On(double now, const ClientClosed& event, Effects* effects) {
   auto it = of_client_.find(event.client);
   if (it == of_client_.end()) {
-    ++counters_.events_of_ended;
+    ++counters_.stale_events;
     return;
   }
   RequestId id = it->second;
@@ -105,7 +105,7 @@
     return;
   }
   if (request.connection.valid()) {
-    policy_->OnAttemptEnded(now, request.backend, Met::kLeft);
+    policy_->OnAttemptEnded(now, request.backend, AttemptResult::kCancelled);
     Close(request.connection, effects);
   }
   Release(id, effects);
@@ -114,7 +114,7 @@
 void Lifecycle::On(double, const ClientDrained& event, Effects* effects) {
   Request* request = Find(RequestOf(event.client));
   if (!request || request->phase != Phase::kStreaming) {
-    ++counters_.events_of_ended;
+    ++counters_.stale_events;
     return;
   }
   effects->emplace_back(ReadAnswerPart{request->connection});
@@ -168,7 +168,7 @@
   Connection* connection = Find(event.connection);
   Request* request = connection ? Find(connection->request) : nullptr;
   if (!request || connection->open) {
-    ++counters_.events_of_ended;
+    ++counters_.stale_events;
     return;
   }
   connection->open = true;
@@ -178,7 +178,7 @@
 void Lifecycle::On(double now, const ConnectionLost& event, Effects* effects) {
   Connection* connection = Find(event.connection);
   if (!connection) {
-    ++counters_.events_of_ended;
+    ++counters_.stale_events;
     return;
   }
   bool open = connection->open;
@@ -188,15 +188,18 @@
   Request* request = Find(id);
   if (!request) return;  // it was idle
   if (request->phase == Phase::kStreaming) {
-    policy_->OnAttemptEnded(now, request->backend, Met::kBroken);
+    policy_->OnAttemptEnded(now, request->backend, AttemptResult::kBroken);
     effects->emplace_back(AbortReply{request->client, id});
     return Release(id, effects);
   }
-  if (!open) return EndAttempt(now, id, request, Evidence::kConnectRefused, Met::kRefusedConnection, effects);
+  if (!open)
+    return EndAttempt(now, id, request, Evidence::kConnectRefused, AttemptResult::kConnectionRefused,
+                      effects);
   if (event.bytes_written)
-    return EndAttempt(now, id, request, Evidence::kLostAfterWrite, Met::kBroken, effects);
+    return EndAttempt(now, id, request, Evidence::kLostAfterWrite, AttemptResult::kBroken, effects);
   if (kept) request->tried.erase(request->backend);  // it is as good as before, on another connection
-  EndAttempt(now, id, request, Evidence::kWriteRefused, kept ? Met::kLeft : Met::kBroken, effects);
+  EndAttempt(now, id, request, Evidence::kWriteRefused,
+             kept ? AttemptResult::kCancelled : AttemptResult::kBroken, effects);
 }
 
 void Lifecycle::On(double now, const ConnectionStale& event, Effects* effects) {
@@ -206,8 +209,8 @@
   bool kept = exchange->connection->written > 1;
   Close(event.connection, effects);
   if (kept) request->tried.erase(request->backend);  // it is as good as before, on another connection
-  EndAttempt(now, exchange->request_id, request, Evidence::kEndedBeforeWrite,
-             kept ? Met::kLeft : Met::kBroken, effects);
+  EndAttempt(now, exchange->request_id, request, Evidence::kClosedBeforeWrite,
+             kept ? AttemptResult::kCancelled : AttemptResult::kBroken, effects);
 }
 
 void Lifecycle::On(double now, AnswerReceived&& event, Effects* effects) {
@@ -215,23 +218,25 @@
   if (!exchange) return;
   Request* request = exchange->request;
   RequestId id = exchange->request_id;
-  AnswerReading reading =
-      ReadAnswer(FactsOf(event.reply, request->attempt_id, exchange->connection->written));
-  if (!reading.trusted) ++counters_.distrusted;
-  if (reading.trusted && event.reply.reusable && reading.met != Met::kGone) {
+  AnswerClassification classification =
+      ClassifyAnswer(FactsOf(event.reply, request->attempt_id, exchange->connection->written));
+  if (!classification.trusted) ++counters_.untrusted_answers;
+  if (classification.trusted && event.reply.reusable &&
+      classification.result != AttemptResult::kMisdirected) {
     Keep(now, event.connection, exchange->connection, event.reply.keep_alive_s);
   } else {
     Close(event.connection, effects);
   }
-  if (!reading.forwardable) return EndAttempt(now, id, request, reading.evidence, reading.met, effects);
+  if (!classification.forwardable)
+    return EndAttempt(now, id, request, classification.evidence, classification.result, effects);
   // A failure of the backend's own has run: it is tried again only where that does no harm.
-  if (reading.evidence == Evidence::kFailureAnswer && request->idempotent) {
+  if (classification.evidence == Evidence::kErrorAnswer && request->idempotent) {
     bool again = request->arrived + 1 < request->max_attempts && policy_->MayRetry(now, request->service);
-    if (again) return EndAttempt(now, id, request, reading.evidence, reading.met, effects);
+    if (again) return EndAttempt(now, id, request, classification.evidence, classification.result, effects);
   }
-  policy_->OnAttemptEnded(now, request->backend, reading.met);
+  policy_->OnAttemptEnded(now, request->backend, classification.result);
   if (!request->client_gone) {
-    bool success = reading.met == Met::kServed;
+    bool success = classification.result == AttemptResult::kServed;
     effects->emplace_back(ForwardAnswer{request->client, id, success, std::move(event.reply.content)});
   }
   Release(id, effects);
@@ -241,13 +246,13 @@
   std::optional<Exchange> exchange = FindExchange(event.connection, effects);
   if (!exchange || exchange->request->phase != Phase::kAwaitingAnswer) return;
   Request* request = exchange->request;
-  AnswerReading reading =
-      ReadAnswer(FactsOf(event.reply, request->attempt_id, exchange->connection->written));
-  if (!reading.forwardable || request->client_gone) {
+  AnswerClassification classification =
+      ClassifyAnswer(FactsOf(event.reply, request->attempt_id, exchange->connection->written));
+  if (!classification.forwardable || request->client_gone) {
     Close(event.connection, effects);
     // Only a whole answer proves more.
-    Evidence evidence = reading.trusted ? Evidence::kLostAfterWrite : reading.evidence;
-    return EndAttempt(now, exchange->request_id, request, evidence, Met::kBroken, effects);
+    Evidence evidence = classification.trusted ? Evidence::kLostAfterWrite : classification.evidence;
+    return EndAttempt(now, exchange->request_id, request, evidence, AttemptResult::kBroken, effects);
   }
   request->phase = Phase::kStreaming;
   effects->emplace_back(ForwardStart{request->client, exchange->request_id, std::move(event.reply.content)});
@@ -262,7 +267,7 @@
 void Lifecycle::On(double now, const AnswerEnded& event, Effects* effects) {
   std::optional<Exchange> exchange = FindExchange(event.connection, effects);
   if (!exchange || exchange->request->phase != Phase::kStreaming) return;
-  policy_->OnAttemptEnded(now, exchange->request->backend, Met::kServed);
+  policy_->OnAttemptEnded(now, exchange->request->backend, AttemptResult::kServed);
   if (event.reusable) {
     Keep(now, event.connection, exchange->connection, 0);
   } else {
@@ -275,7 +280,7 @@
 void Lifecycle::On(double now, const DeadlineReached& event, Effects* effects) {
   Request* request = Find(event.request);
   if (!request || request->phase == Phase::kStreaming) {
-    ++counters_.events_of_ended;
+    ++counters_.stale_events;
     return;
   }
   Expire(now, event.request, request, effects);
@@ -284,12 +289,12 @@
 void Lifecycle::On(double now, const ConnectTimedOut& event, Effects* effects) {
   Connection* connection = Find(event.connection);
   if (!connection || connection->attempt != event.attempt || connection->open) {
-    ++counters_.events_of_ended;
+    ++counters_.stale_events;
     return;
   }
   RequestId id = connection->request;
   Close(event.connection, effects);
-  EndAttempt(now, id, Find(id), Evidence::kConnectSilent, Met::kSilent, effects);
+  EndAttempt(now, id, Find(id), Evidence::kConnectTimedOut, AttemptResult::kTimedOut, effects);
 }
 
 bool Lifecycle::Repeatable(const Request& request) const {
@@ -299,14 +304,14 @@
 bool Lifecycle::MayTryAgain(double now, const Request& request, Evidence evidence) {
   if (!Repeatable(request)) return false;
   if (request.arrived >= request.max_attempts) return false;
-  if (!MayHaveArrived(evidence) && request.not_sent > limits_.most_not_sent) return false;
+  if (!MayHaveArrived(evidence) && request.not_sent > limits_.max_unsent_attempts) return false;
   bool further_arrival = request.arrived > 0;
   return !further_arrival || policy_->MayRetry(now, request.service);
 }
 
-void Lifecycle::EndAttempt(double now, RequestId id, Request* request, Evidence evidence, Met met,
-                           Effects* effects) {
-  policy_->OnAttemptEnded(now, request->backend, met);
+void Lifecycle::EndAttempt(double now, RequestId id, Request* request, Evidence evidence,
+                           AttemptResult result, Effects* effects) {
+  policy_->OnAttemptEnded(now, request->backend, result);
   request->connection = {};
   request->attempt = {};
   Outcome outcome = OutcomeOf(evidence);
@@ -317,8 +322,9 @@
     ++request->not_sent;
     ++counters_.not_sent;
   }
-  if (evidence == Evidence::kTurnedAway && met == Met::kFull) ++counters_.turned_away;
-  if (!std::holds_alternative<NotDone>(outcome)) ++counters_.unknown;
+  if (evidence == Evidence::kProvenRejection && result == AttemptResult::kOverloaded)
+    ++counters_.rejected_by_backend;
+  if (!std::holds_alternative<NotDone>(outcome)) ++counters_.unknown_outcomes;
   if (request->client_gone) return Release(id, effects);
   if (!MayTryAgain(now, *request, evidence)) {
     return ReplyOwn(id, request, kBadGateway, kRetryAfter, "not run", "may have run", effects);
@@ -331,11 +337,12 @@
 }
 
 void Lifecycle::Expire(double now, RequestId id, Request* request, Effects* effects) {
-  ++counters_.late;
+  ++counters_.deadline_exceeded;
   if (request->connection.valid()) {
     bool sent = request->phase == Phase::kAwaitingAnswer;
-    request->record.Add(OutcomeOf(sent ? Evidence::kSilence : Evidence::kConnectSilent));
-    policy_->OnAttemptEnded(now, request->backend, sent ? Met::kSilent : Met::kRefusedConnection);
+    request->record.Add(OutcomeOf(sent ? Evidence::kNoAnswer : Evidence::kConnectTimedOut));
+    policy_->OnAttemptEnded(now, request->backend,
+                            sent ? AttemptResult::kTimedOut : AttemptResult::kConnectionRefused);
     Close(request->connection, effects);
   }
   ReplyOwn(id, request, kGatewayTimeout, kRetryAfter, "deadline", "deadline", effects);
@@ -381,7 +388,7 @@
 
 void Lifecycle::On(double now, const IdleSweep&, Effects* effects) {
   for (auto it = idle_.begin(); it != idle_.end();) {
-    bool unwanted = policy_->Unwanted(it->first);
+    bool unwanted = policy_->IsDrained(it->first);
     std::erase_if(it->second, [&](ConnectionId id) {
       if (!unwanted && now < connections_.at(id).keep_until) return false;
       connections_.erase(id);
--- a/system/decisions/request_lifecycle/lifecycle.h
+++ b/system/decisions/request_lifecycle/lifecycle.h
@@ -16,7 +16,7 @@
 #include <vector>
 
 #include "load_balancing/pool.h"
-#include "request_lifecycle/answer_reading.h"
+#include "request_lifecycle/answer_classification.h"
 #include "request_lifecycle/identities.h"
 #include "request_lifecycle/outcome.h"
 
@@ -47,12 +47,13 @@
   // A backend for the service that is not among `tried`; empty where there is none.
   virtual std::string Choose(double now, const std::string& service, const std::set<std::string>& tried) = 0;
   virtual void OnAttemptStarted(const std::string& backend) = 0;
-  virtual void OnAttemptEnded(double now, const std::string& backend, load_balancing::Met met) = 0;
+  virtual void OnAttemptEnded(double now, const std::string& backend,
+                              load_balancing::AttemptResult result) = 0;
   // Whether the budget allows one more arrival at the service beyond the first of a request.
   virtual bool MayRetry(double now, const std::string& service) = 0;
   virtual void OnRetry(double now, const std::string& service) = 0;
   // Whether nothing will be sent to it any more, so that its idle connections may be closed.
-  virtual bool Unwanted(const std::string& backend) = 0;
+  virtual bool IsDrained(const std::string& backend) = 0;
 };
 
 // --- Events ---
@@ -191,12 +192,13 @@
 using Effects = std::vector<Effect>;
 
 struct Counters {
-  uint64_t retries = 0, not_sent = 0, turned_away = 0, unknown = 0, distrusted = 0, connections = 0, late = 0;
-  uint64_t events_of_ended = 0;  // dropped: their identity had ended
+  uint64_t retries = 0, not_sent = 0, rejected_by_backend = 0, unknown_outcomes = 0, untrusted_answers = 0,
+           connections = 0, deadline_exceeded = 0;
+  uint64_t stale_events = 0;  // dropped: their identity had ended
 };
 
 struct LifecycleLimits {
-  int most_not_sent =
+  int max_unsent_attempts =
       4;  // attempts of one request that may end before anything is written, and be followed by another
 };
 
@@ -231,7 +233,7 @@
   explicit Lifecycle(BackendPolicy* policy, LifecycleLimits limits = {}) : policy_(policy), limits_(limits) {}
 
   // A request has begun to arrive. The client has no other one that is unanswered.
-  RequestId Arrive(ClientId client);
+  RequestId StartRequest(ClientId client);
 
   void On(double now, RequestAdmitted&& event, Effects* effects);
   void On(double now, const RequestRejected& event, Effects* effects);
@@ -275,8 +277,8 @@
   void Send(ConnectionId id, Connection* connection, Request* request, Effects* effects);
   // The attempt that is out has ended without an answer that goes to the client: again, or the proxy's own
   // answer.
-  void EndAttempt(double now, RequestId id, Request* request, Evidence evidence, load_balancing::Met met,
-                  Effects* effects);
+  void EndAttempt(double now, RequestId id, Request* request, Evidence evidence,
+                  load_balancing::AttemptResult result, Effects* effects);
   bool MayTryAgain(double now, const Request& request, Evidence evidence);
   bool Repeatable(const Request& request) const;
   void Expire(double now, RequestId id, Request* request, Effects* effects);
--- a/system/decisions/request_lifecycle/outcome.cpp
+++ b/system/decisions/request_lifecycle/outcome.cpp
@@ -5,19 +5,19 @@
 Outcome OutcomeOf(Evidence evidence) {
   switch (evidence) {
     case Evidence::kConnectRefused:
-    case Evidence::kConnectSilent:
-    case Evidence::kEndedBeforeWrite:
+    case Evidence::kConnectTimedOut:
+    case Evidence::kClosedBeforeWrite:
     case Evidence::kWriteRefused:
-    case Evidence::kTurnedAway: return NotDone();
-    case Evidence::kFailureAnswer:
+    case Evidence::kProvenRejection: return NotDone();
+    case Evidence::kErrorAnswer:
     case Evidence::kAnswer: return Done();
     case Evidence::kLostAfterWrite:
-    case Evidence::kSilence:
+    case Evidence::kNoAnswer:
     case Evidence::kUnidentifiedAnswer:
     case Evidence::kForeignAnswer:
     case Evidence::kAlteredAnswer:
-    case Evidence::kUnprovenRefusal:
-    case Evidence::kPromiseWithoutProof: return MayHaveBeenDone();
+    case Evidence::kUnprovenRejection:
+    case Evidence::kUnprovenPromise: return MayHaveBeenDone();
   }
   return MayHaveBeenDone();
 }
@@ -25,8 +25,8 @@
 bool MayHaveArrived(Evidence evidence) {
   switch (evidence) {
     case Evidence::kConnectRefused:
-    case Evidence::kConnectSilent:
-    case Evidence::kEndedBeforeWrite:
+    case Evidence::kConnectTimedOut:
+    case Evidence::kClosedBeforeWrite:
     case Evidence::kWriteRefused: return false;
     default: return true;
   }
--- a/system/decisions/request_lifecycle/outcome.h
+++ b/system/decisions/request_lifecycle/outcome.h
@@ -14,20 +14,20 @@
 
 // How an attempt ended, as far as it tells about execution.
 enum class Evidence : uint8_t {
-  kConnectRefused,       // the connection was never established: refused, reset or no valid address
-  kConnectSilent,        // the connection was not established in time, or given up before
-  kEndedBeforeWrite,     // found ended, or with unasked bytes on it, before a byte of the request was written
-  kWriteRefused,         // the system took no byte of the request
-  kLostAfterWrite,       // reset, half-closed or malformed after a byte may have left
-  kSilence,              // no answer by the deadline, or given up with its client
-  kUnidentifiedAnswer,   // an answer without a request id
-  kForeignAnswer,        // an answer with the id of another request
-  kAlteredAnswer,        // own id, but not the backend's own body: success without a seal, or encoded
-  kUnprovenRefusal,      // says 421 or Not-Executed without an id, where it may answer an earlier request
-  kTurnedAway,           // 421 or Not-Executed that is provably the answer to this request
-  kPromiseWithoutProof,  // 408, 429 or 503 with own id, but without Not-Executed
-  kFailureAnswer,        // own failure status (5xx) of the backend
-  kAnswer,               // any other status of the backend's own
+  kConnectRefused,      // the connection was never established: refused, reset or no valid address
+  kConnectTimedOut,     // the connection was not established in time, or given up before
+  kClosedBeforeWrite,   // found ended, or with unasked bytes on it, before a byte of the request was written
+  kWriteRefused,        // the system took no byte of the request
+  kLostAfterWrite,      // reset, half-closed or malformed after a byte may have left
+  kNoAnswer,            // no answer by the deadline, or given up with its client
+  kUnidentifiedAnswer,  // an answer without a request id
+  kForeignAnswer,       // an answer with the id of another request
+  kAlteredAnswer,       // own id, but not the backend's own body: success without a seal, or encoded
+  kUnprovenRejection,   // says 421 or Not-Executed without an id, where it may answer an earlier request
+  kProvenRejection,     // 421 or Not-Executed that is provably the answer to this request
+  kUnprovenPromise,     // 408, 429 or 503 with own id, but without Not-Executed
+  kErrorAnswer,         // own failure status (5xx) of the backend
+  kAnswer,              // any other status of the backend's own
 };
 
 struct Done {};
--- a/system/programs/proxy/exchanges.cpp
+++ b/system/programs/proxy/exchanges.cpp
@@ -11,7 +11,7 @@
 namespace lifecycle = request_lifecycle;
 using lifecycle::ClientId;
 using lifecycle::ConnectionId;
-using load_balancing::Met;
+using load_balancing::AttemptResult;
 
 namespace {
 
@@ -57,7 +57,7 @@
 
 Exchanges::Exchanges(asio::io_context& io, bodies::BodyMemory* memory, routing::Routes* routes,
                      rate_limit::Admission* admission, load_balancing::Pool* pool,
-                     load_balancing::Budget* budget, const drain::DrainManager* drain)
+                     load_balancing::RetryBudget* budget, const drain::DrainManager* drain)
     : io_(io),
       routes_(routes),
       admission_(admission),
@@ -74,21 +74,21 @@
 Figures Exchanges::figures() const {
   Figures out = figures_;
   const lifecycle::Counters& counters = lifecycle_.counters();
-  out.late = counters.late;
+  out.late = counters.deadline_exceeded;
   out.tries = counters.retries;
   out.not_sent = counters.not_sent;
-  out.full = counters.turned_away;
-  out.unknown = counters.unknown;
-  out.broken = counters.distrusted;
+  out.full = counters.rejected_by_backend;
+  out.unknown = counters.unknown_outcomes;
+  out.broken = counters.untrusted_answers;
   out.connections = counters.connections;
-  out.ended = counters.events_of_ended;
+  out.ended = counters.stale_events;
   return out;
 }
 
 // --- Clients: up to admission ---
 
 void Exchanges::OnRequest(uint64_t client, ClientMessage message) {
-  RequestId id = lifecycle_.Arrive(ClientId{client});
+  RequestId id = lifecycle_.StartRequest(ClientId{client});
   ActiveRequest& request = active_requests_[id];
   request.arrived = Now();
   ++figures_.requests;
@@ -153,10 +153,10 @@
   request.deadline = request.arrived + allowed;
   if (!drain_->MayServe(Now(), request.deadline)) return Reject(id, 503, kNotReady, "stopping");
   if (!request.tenant) return Admitted(id);
-  Judged(id, admission_->Ask(request.arrived, *request.tenant));
+  Judged(id, admission_->OnRequest(request.arrived, *request.tenant));
 }
 
-void Exchanges::Judged(RequestId id, const rate_limit::Verdict& verdict) {
+void Exchanges::Judged(RequestId id, const rate_limit::AdmissionDecision& verdict) {
   ActiveRequest& request = active_requests_.at(id);
   request.pending = verdict.pending && !verdict.admitted;
   if (verdict.admitted) return Admitted(id);
@@ -179,9 +179,9 @@
   it->second.pending = false;
   std::erase(pending_, id);
   const std::string& tenant = it->second.tenant->name;
-  rate_limit::Verdict last = admission_->Again(Now(), tenant);
+  rate_limit::AdmissionDecision last = admission_->RetryPending(Now(), tenant);
   if (last.admitted) return Admitted(id);
-  if (last.pending) admission_->GiveUp(tenant);
+  if (last.pending) admission_->CancelPending(tenant);
   ++figures_.limited;
   Reject(id, 429, std::max(kLeastRetryAfter, last.retry_after_s), "limit");
 }
@@ -193,7 +193,7 @@
     auto it = active_requests_.find(id);
     if (it == active_requests_.end() || !it->second.pending) continue;
     it->second.pending = false;
-    Judged(id, admission_->Again(Now(), it->second.tenant->name));
+    Judged(id, admission_->RetryPending(Now(), it->second.tenant->name));
   }
 }
 
@@ -250,18 +250,18 @@
   return pool_->Choose(now, service, tried);
 }
 
-void Exchanges::OnAttemptStarted(const std::string& backend) { pool_->OnSent(backend); }
+void Exchanges::OnAttemptStarted(const std::string& backend) { pool_->OnAttemptStarted(backend); }
 
-void Exchanges::OnAttemptEnded(double now, const std::string& backend, Met met) {
-  pool_->OnMet(now, backend, met);
-  if (met == Met::kFull) admission_->OnOverload();
+void Exchanges::OnAttemptEnded(double now, const std::string& backend, AttemptResult result) {
+  pool_->OnAttemptEnded(now, backend, result);
+  if (result == AttemptResult::kOverloaded) admission_->OnOverload();
 }
 
-bool Exchanges::MayRetry(double now, const std::string& service) { return budget_->May(now, service); }
+bool Exchanges::MayRetry(double now, const std::string& service) { return budget_->MayRetry(now, service); }
 
-void Exchanges::OnRetry(double now, const std::string& service) { budget_->OnTry(now, service); }
+void Exchanges::OnRetry(double now, const std::string& service) { budget_->OnRetry(now, service); }
 
-bool Exchanges::Unwanted(const std::string& backend) { return pool_->Idle(backend); }
+bool Exchanges::IsDrained(const std::string& backend) { return pool_->IsDrained(backend); }
 
 // --- Effects to calls ---
 
@@ -286,7 +286,7 @@
 
 void Exchanges::CarryOut(lifecycle::OpenConnection& effect) {
   uint64_t connection = effect.connection.value;
-  const load_balancing::Seen* seen = pool_->Find(effect.backend);
+  const load_balancing::BackendState* seen = pool_->Find(effect.backend);
   tcp::endpoint address;
   try {
     address = ParseAddress("address", seen ? seen->backend.address : std::string());
@@ -384,7 +384,7 @@
   auto it = active_requests_.find(effect.request);
   if (it->second.pending) {
     std::erase(pending_, effect.request);
-    admission_->GiveUp(it->second.tenant->name);
+    admission_->CancelPending(it->second.tenant->name);
   }
   active_requests_.erase(it);
 }
--- a/system/programs/proxy/exchanges.h
+++ b/system/programs/proxy/exchanges.h
@@ -12,8 +12,8 @@
 #include <unordered_map>
 
 #include "drain/drain_manager.h"
-#include "load_balancing/budget.h"
 #include "load_balancing/pool.h"
+#include "load_balancing/retry_budget.h"
 #include "net/backend_links.h"
 #include "net/client_server.h"
 #include "rate_limit/admission.h"
@@ -31,7 +31,7 @@
  public:
   // Everything given outlives this.
   Exchanges(asio::io_context& io, bodies::BodyMemory* memory, routing::Routes* routes,
-            rate_limit::Admission* admission, load_balancing::Pool* pool, load_balancing::Budget* budget,
+            rate_limit::Admission* admission, load_balancing::Pool* pool, load_balancing::RetryBudget* budget,
             const drain::DrainManager* drain);
   void Serve(ClientServer* front) { front_ = front; }
 
@@ -76,14 +76,14 @@
   // Of the state machine.
   std::string Choose(double now, const std::string& service, const std::set<std::string>& tried) override;
   void OnAttemptStarted(const std::string& backend) override;
-  void OnAttemptEnded(double now, const std::string& backend, load_balancing::Met met) override;
+  void OnAttemptEnded(double now, const std::string& backend, load_balancing::AttemptResult result) override;
   bool MayRetry(double now, const std::string& service) override;
   void OnRetry(double now, const std::string& service) override;
-  bool Unwanted(const std::string& backend) override;
+  bool IsDrained(const std::string& backend) override;
 
   double Now() const;
   void Begin(RequestId id);
-  void Judged(RequestId id, const rate_limit::Verdict& verdict);
+  void Judged(RequestId id, const rate_limit::AdmissionDecision& verdict);
   void OnTokenLate(RequestId id);
   void Admitted(RequestId id);
   void Reject(RequestId id, int status, double retry_after_s, const char* reason);
@@ -114,7 +114,7 @@
   routing::Routes* routes_;
   rate_limit::Admission* admission_;
   load_balancing::Pool* pool_;
-  load_balancing::Budget* budget_;
+  load_balancing::RetryBudget* budget_;
   const drain::DrainManager* drain_;
   ClientServer* front_ = nullptr;
   request_lifecycle::Lifecycle lifecycle_;
--- a/system/programs/proxy/gateway.cpp
+++ b/system/programs/proxy/gateway.cpp
@@ -47,14 +47,14 @@
     }
   });
   journal_.Attach([this](const ItemChange& event) {
-    if (event.table == Table::kBackends) pool_.Fold(event.at, event.item);
+    if (event.table == Table::kBackends) pool_.ApplyItem(event.at, event.item);
   });
   front_ = std::make_unique<ClientServer>(
       io, MaxClients(settings), &memory_,
       ClientServer::Events{
           [this](uint64_t client, ClientMessage message) {
             exchanges_.OnRequest(client, std::move(message));
-            if (!admission_.urgent() || token_request_scheduled_) return;
+            if (!admission_.needs_tokens() || token_request_scheduled_) return;
             token_request_scheduled_ = true;
             asio::post(io_, [this] {
               token_request_scheduled_ = false;
@@ -84,10 +84,10 @@
   events.state = [this](Table table, const std::string&, const messages::CoreStatus& state) {
     (table == Table::kBackends ? backends_ : configuration_).OnState(Now(), state);
     if (table == Table::kBackends) {
-      admission_.OnMembers(std::max<size_t>(1, state.gateway_count));
-      budget_.OnMembers(std::max<size_t>(1, state.gateway_count));
-      pool_.OnMembers(state.gateways, settings_.ip);
-      if (cores_) admission_.OnAllocators(cores_->Allocators().size());
+      admission_.SetGatewayCount(std::max<size_t>(1, state.gateway_count));
+      budget_.SetGatewayCount(std::max<size_t>(1, state.gateway_count));
+      pool_.SetGateways(state.gateways, settings_.ip);
+      if (cores_) admission_.SetAllocatorCount(cores_->Allocators().size());
     }
     OnUpdate();
   };
@@ -97,10 +97,10 @@
   events.grants = [this](const std::string& core, const messages::QuotaGrants& grants) {
     admission_.OnGrants(Now(), core, grants);
     exchanges_.OnGrants();
-    if (admission_.urgent()) RequestTokens();
+    if (admission_.needs_tokens()) RequestTokens();
   };
   events.registry = [this](const std::string& core, bool up) {
-    admission_.OnAllocators(cores_->Allocators().size());
+    admission_.SetAllocatorCount(cores_->Allocators().size());
     if (up) ReportTo(core, true, false);
   };
   cores_ = std::make_unique<control_client::CoreConnections>(io, settings, std::move(events));
@@ -122,7 +122,7 @@
 
 void Gateway::ReportTo(const std::string& core, bool all, bool draw) {
   size_t allocators = std::max<size_t>(1, cores_->Allocators().size());
-  messages::UsageReport report = admission_.Report(Now(), core, allocators, all, draw);
+  messages::UsageReport report = admission_.BuildReport(Now(), core, allocators, all, draw);
   if (all || !report.tenants.empty()) cores_->Send(core, report);
 }
 
@@ -138,22 +138,22 @@
     std::vector<std::string> cores = cores_->Allocators();
     size_t from = token_requests_++;
     for (size_t i = 0; i < cores.size(); ++i) ReportTo(cores[i], true, i == from % cores.size());
-  } else if (admission_.urgent()) {
+  } else if (admission_.needs_tokens()) {
     RequestTokens();
   }
   if (ticks_ % 10 == 0) exchanges_.Sweep();
   if (ticks_ % 20 == 0) cores_->OnTime();
   if (ticks_ % kFiguresInterval == 0) {
     Figures f = exchanges_.figures();
-    auto a = admission_.figures();
+    auto a = admission_.counters();
     Log("figures")
         .Add("requests", f.requests)
         .Add("served", f.served)
         .Add("refused", f.refused)
         .Add("limited", f.limited)
-        .Add("by_bucket", a.by_bucket)
-        .Add("by_isolation", a.by_isolation)
-        .Add("by_counter", a.by_counter)
+        .Add("by_bucket", a.rejected_by_bucket)
+        .Add("by_isolation", a.rejected_by_isolation)
+        .Add("by_counter", a.rejected_by_counter)
         .Add("failed", f.failed)
         .Add("late", f.late)
         .Add("tries", f.tries)
--- a/system/programs/proxy/gateway.h
+++ b/system/programs/proxy/gateway.h
@@ -42,7 +42,7 @@
   routing::Routes routes_;
   rate_limit::Admission admission_;
   load_balancing::Pool pool_;
-  load_balancing::Budget budget_;
+  load_balancing::RetryBudget budget_;
   drain::DrainManager drain_;
   Exchanges exchanges_;
   std::unique_ptr<ClientServer> front_, readiness_;
--- a/system/programs/registry/quota_leases.cpp
+++ b/system/programs/registry/quota_leases.cpp
@@ -141,7 +141,7 @@
   if (allocating == allocating_) return;
   allocating_ = allocating;
   Log(allocating ? "lending" : "lending_closed")
-      .Add("awaited", allocator_.awaited())
+      .Add("awaited", allocator_.awaited_holder_count())
       .Add("epoch", right_.epoch());
 }
 
--- a/tests/system/decisions_test.cpp
+++ b/tests/system/decisions_test.cpp
@@ -10,8 +10,8 @@
 #include "config_model/model.h"
 #include "config_store/configuration_policy.h"
 #include "discovery/table_cache.h"
-#include "load_balancing/budget.h"
 #include "load_balancing/pool.h"
+#include "load_balancing/retry_budget.h"
 #include "messages/codec.h"
 #include "process/settings.h"
 #include "registry/allocation_right.h"
@@ -24,7 +24,7 @@
 
 using namespace ivygw;
 using config_model::Change;
-using load_balancing::Met;
+using load_balancing::AttemptResult;
 
 namespace {
 
@@ -208,18 +208,18 @@
 
 TEST(Budgets, TheBudgetOfAllGatewaysHolds) {
   // Eleven gateways, each for itself, of a service that fails all the time.
-  std::vector<load_balancing::Budget> budgets(11, load_balancing::Budget(0.2, 10, 62));
+  std::vector<load_balancing::RetryBudget> budgets(11, load_balancing::RetryBudget(0.2, 10, 62));
   std::deque<double> requests, again;
   std::mt19937 dice(5);
-  for (auto& budget : budgets) budget.OnMembers(11);
+  for (auto& budget : budgets) budget.SetGatewayCount(11);
   for (double now = 0; now < 60; now += 0.01) {
     bool quiet = now > 20 && now < 32;  // then nothing for a while, and all at once
     for (auto& budget : budgets) {
       if (quiet || dice() % 10 != 0) continue;
       budget.OnRequest(now, "s");
       requests.push_back(now);
-      for (int i = 0; i < 3 && budget.May(now, "s"); ++i) {
-        budget.OnTry(now, "s");
+      for (int i = 0; i < 3 && budget.MayRetry(now, "s"); ++i) {
+        budget.OnRetry(now, "s");
         again.push_back(now);
       }
     }
@@ -241,12 +241,12 @@
   std::map<std::string, int> taken;
   for (const auto& member : members) {
     load_balancing::Pool pool(1, member.zone);
-    for (const char* id : {"a", "b"}) pool.Fold(0, Backend(id, "s", "z1"));
-    pool.Fold(0, Backend("c", "s", "z2"));
-    pool.OnMembers(members, member.node);
+    for (const char* id : {"a", "b"}) pool.ApplyItem(0, Backend(id, "s", "z1"));
+    pool.ApplyItem(0, Backend("c", "s", "z2"));
+    pool.SetGateways(members, member.node);
     for (int i = 0; i < 2; ++i) {
       std::string id = pool.Choose(1, "s", {});
-      pool.OnSent(id);
+      pool.OnAttemptStarted(id);
       ++taken[id];
     }
   }
@@ -255,16 +255,16 @@
 
 TEST(Choice, WhoDrainsHasGoneOrFailsIsLeftOut) {
   load_balancing::Pool pool(1, "z1");
-  for (const char* id : {"a", "b", "c"}) pool.Fold(0, Backend(id, "s", "z1"));
-  pool.Fold(0, Backend("a", "s", "z1", 2, true));
-  pool.OnSent("b");
-  pool.OnMet(0, "b", Met::kRefusedConnection);
+  for (const char* id : {"a", "b", "c"}) pool.ApplyItem(0, Backend(id, "s", "z1"));
+  pool.ApplyItem(0, Backend("a", "s", "z1", 2, true));
+  pool.OnAttemptStarted("b");
+  pool.OnAttemptEnded(0, "b", AttemptResult::kConnectionRefused);
   for (int i = 0; i < 20; ++i) STRCMP_EQUAL("c", pool.Choose(0.1, "s", {}).c_str());
   STRCMP_EQUAL("b", pool.Choose(0.1, "s", {"c"}).c_str());  // better than nobody
-  pool.OnSent("c");
-  pool.OnMet(0.1, "c", Met::kGone);
+  pool.OnAttemptStarted("c");
+  pool.OnAttemptEnded(0.1, "c", AttemptResult::kMisdirected);
   STRCMP_EQUAL("b", pool.Choose(0.2, "s", {}).c_str());
-  pool.Fold(1, {"backend/b", 5, true, ""});
+  pool.ApplyItem(1, {"backend/b", 5, true, ""});
   STRCMP_EQUAL("", pool.Choose(1, "s", {}).c_str());
   STRCMP_EQUAL("", pool.Choose(1, "unknown", {}).c_str());
 }
--- a/tests/system/lifecycle_search_test.cpp
+++ b/tests/system/lifecycle_search_test.cpp
@@ -20,7 +20,7 @@
 
 using namespace ivygw;
 using namespace ivygw::request_lifecycle;
-using load_balancing::Met;
+using load_balancing::AttemptResult;
 
 namespace {
 
@@ -43,13 +43,13 @@
     return prefer_second ? "b2" : "b1";
   }
   void OnAttemptStarted(const std::string&) override { ++started; }
-  void OnAttemptEnded(double, const std::string&, Met) override { ++ended; }
+  void OnAttemptEnded(double, const std::string&, AttemptResult) override { ++ended; }
   bool MayRetry(double, const std::string&) override {
     asked_budget = true;
     return budget;
   }
   void OnRetry(double, const std::string& service) override { retried.push_back(std::stoull(service)); }
-  bool Unwanted(const std::string&) override { return false; }
+  bool IsDrained(const std::string&) override { return false; }
 
   bool prefer_second = false, budget = true;
   bool asked_backend = false, asked_budget = false;
@@ -323,7 +323,7 @@
 }
 
 void World::Ask(uint64_t client) {
-  RequestId id = lifecycle.Arrive(ClientId{client});
+  RequestId id = lifecycle.StartRequest(ClientId{client});
   --clients.at(client).asks_left;
   clients.at(client).waiting = id;
   RequestModel model;
--- a/tests/system/limits_test.cpp
+++ b/tests/system/limits_test.cpp
@@ -57,22 +57,22 @@
       for (size_t g = 0; g < gateways_.size(); ++g) {
         Gateway& gateway = gateways_[g];
         if (!gateway.admission) continue;
-        gateway.admission->OnAllocators(InTouch(g).size());
+        gateway.admission->SetAllocatorCount(InTouch(g).size());
         gateway.admission->OnTime(now_);
         if (std::fmod(now_, 0.25) < 0.005) ReportAll(g);
         std::poisson_distribution<int> arrivals(0.62 * options_.rate * options_.overload * gateway.weight *
                                                 0.005);
         for (int n = arrivals(dice_); n > 0; --n) {
           ++asked;
-          rate_limit::Verdict verdict = gateway.admission->Ask(now_, tenant_);
+          rate_limit::AdmissionDecision verdict = gateway.admission->OnRequest(now_, tenant_);
           if (verdict.pending) gateway.pending.push_back(now_);
           if (verdict.admitted) Admitted(&gateway);
         }
         while (!gateway.pending.empty() && gateway.pending.front() < now_ - rate_limit::kTokenTimeout) {
-          gateway.admission->GiveUp("t");
+          gateway.admission->CancelPending("t");
           gateway.pending.pop_front();
         }
-        if (gateway.admission->urgent()) Draw(g);
+        if (gateway.admission->needs_tokens()) Draw(g);
       }
       while (!sent_.empty() && sent_.front() < now_ - 5) sent_.pop_front();
       double most = (options_.rate * 5 + options_.burst) * 1.1 + 20;
@@ -121,7 +121,7 @@
     if (gateways_.size() <= g) gateways_.resize(g + 1);
     Gateway& gateway = gateways_[g];
     gateway.admission = std::make_unique<Admission>(rate_limit::AdmissionOptions{0.1, 20, 5, 30});
-    gateway.admission->OnMembers(options_.gateways);
+    gateway.admission->SetGatewayCount(options_.gateways);
     if (gateway.weight == 0) gateway.weight = 1.0 / static_cast<double>(options_.gateways);
   }
   void Weigh(std::vector<double> weights) {
@@ -178,7 +178,7 @@
   }
   void Report(size_t g, size_t c, size_t allocators, bool all, bool draw) {
     messages::UsageReport report =
-        gateways_[g].admission->Report(now_, cores_[c].name, allocators, all, draw);
+        gateways_[g].admission->BuildReport(now_, cores_[c].name, allocators, all, draw);
     if (all || !report.tenants.empty())
       Send({now_ + 0.001 + 0.002 * Chance(), g, c, gateways_[g].boot, cores_[c].life, report, {}});
   }
@@ -217,11 +217,11 @@
         for (size_t n = gateway.pending.size(); n > 0; --n) {
           double since = gateway.pending.front();
           gateway.pending.pop_front();
-          rate_limit::Verdict verdict = gateway.admission->Again(now_, "t");
+          rate_limit::AdmissionDecision verdict = gateway.admission->RetryPending(now_, "t");
           if (verdict.pending) gateway.pending.push_back(since);
           if (verdict.admitted) Admitted(&gateway);
         }
-        if (gateway.admission->urgent()) Draw(m.gateway);
+        if (gateway.admission->needs_tokens()) Draw(m.gateway);
       }
     }
   }
@@ -507,21 +507,21 @@
   Admission admission({0.1, 20, 5, 30});
   config_model::Tenant tenant;
   tenant.name = "free";
-  for (int i = 0; i < 1000; ++i) CHECK(admission.Ask(1.0, tenant).admitted);
+  for (int i = 0; i < 1000; ++i) CHECK(admission.OnRequest(1.0, tenant).admitted);
 }
 
 TEST(Limits, ARefusalTellsWhenToComeBack) {
   Admission admission({0.1, 20, 5, 30});
-  admission.OnMembers(11);
+  admission.SetGatewayCount(11);
   config_model::Tenant tenant;
   tenant.name = "t";
   tenant.rate_per_s = 10;
   tenant.burst = 10;
-  CHECK(admission.Ask(1.0, tenant).admitted);
-  rate_limit::Verdict verdict = admission.Ask(1.0, tenant);
+  CHECK(admission.OnRequest(1.0, tenant).admitted);
+  rate_limit::AdmissionDecision verdict = admission.OnRequest(1.0, tenant);
   CHECK(!verdict.admitted);
   CHECK(verdict.retry_after_s > 0 && verdict.retry_after_s <= 1);
-  CHECK(admission.urgent());
+  CHECK(admission.needs_tokens());
 }
 
 TEST(Limits, TheCounterCheckRefusesWhatOthersHaveSent) {
@@ -532,10 +532,10 @@
   tenant.name = "t";
   tenant.rate_per_s = 10;
   tenant.burst = 10;
-  admission.Ask(1.0, tenant);
+  admission.OnRequest(1.0, tenant);
   uint64_t total = 0;
   auto word = [&](double now, uint64_t others) {
-    messages::UsageReport report = admission.Report(now, "c", 1, true, true);
+    messages::UsageReport report = admission.BuildReport(now, "c", 1, true, true);
     messages::QuotaGrants loans;
     loans.number = report.number;
     total = others;
@@ -544,8 +544,8 @@
   };
   word(1.0, 0);
   word(1.1, 5);
-  CHECK(admission.Ask(1.2, tenant).admitted);
+  CHECK(admission.OnRequest(1.2, tenant).admitted);
   word(1.2, 200);
-  CHECK(!admission.Ask(1.3, tenant).admitted);
-  CHECK(admission.figures().by_counter > 0);
+  CHECK(!admission.OnRequest(1.3, tenant).admitted);
+  CHECK(admission.counters().rejected_by_counter > 0);
 }
--- a/tests/system/planted_mistakes.cmake
+++ b/tests/system/planted_mistakes.cmake
@@ -35,13 +35,13 @@
   FROM "facts.own_id = facts.has_id && reply.attempt_id == expected_id" TO "facts.own_id = facts.has_id"
   TOLD "broken: mixed")
 planted_in_lifecycle(kept_after_doubt SOURCE system/decisions/request_lifecycle/lifecycle.cpp RUN TwoRequestsThatMayRunOnce
-  FROM "if (reading.trusted && event.reply.reusable" TO "if (event.reply.reusable"
+  FROM "if (classification.trusted && event.reply.reusable" TO "if (event.reply.reusable"
   TOLD "broken: doubt")
 planted_in_lifecycle(not_done_after_a_partial_write SOURCE system/decisions/request_lifecycle/lifecycle.cpp RUN TwoRequestsThatMayRunOnce
   FROM "if (event.bytes_written)" TO "if (event.bytes_written && request->idempotent)"
   TOLD "broken: (twice|refused)")
-planted_in_lifecycle(refusal_of_a_stranger_believed SOURCE system/decisions/request_lifecycle/answer_reading.cpp RUN TwoRequestsThatMayRunOnce
-  FROM "if (!answer.sole_request) return Distrusted(Evidence::kUnprovenRefusal)" TO ""
+planted_in_lifecycle(refusal_of_a_stranger_believed SOURCE system/decisions/request_lifecycle/answer_classification.cpp RUN TwoRequestsThatMayRunOnce
+  FROM "if (!answer.sole_request) return Distrusted(Evidence::kUnprovenRejection)" TO ""
   TOLD "broken: (twice|refused)")
 planted_in_lifecycle(promise_for_what_may_have_run SOURCE system/decisions/request_lifecycle/lifecycle.cpp RUN TwoRequestsThatMayRunOnce
   FROM "    if (std::optional<NotDone> proof = request->record.NothingDone())"
@@ -88,14 +88,14 @@
 planted_on_the_wire(wire_kept_after_extra_bytes SOURCE src/net/backend_links.cpp
   FROM "reader_.unread() == 0 && !eof_ && !sending_" TO "!eof_ && !sending_"
   TOLD "broken: doubt")
-planted_on_the_wire(wire_refusal_of_a_stranger_believed SOURCE system/decisions/request_lifecycle/answer_reading.cpp
-  FROM "if (!answer.sole_request) return Distrusted(Evidence::kUnprovenRefusal)" TO ""
+planted_on_the_wire(wire_refusal_of_a_stranger_believed SOURCE system/decisions/request_lifecycle/answer_classification.cpp
+  FROM "if (!answer.sole_request) return Distrusted(Evidence::kUnprovenRejection)" TO ""
   TOLD "broken: (twice|refused)")
 planted_on_the_wire(wire_retry_of_what_may_run_only_once SOURCE system/decisions/request_lifecycle/lifecycle.cpp
   FROM "return request.idempotent || request.record.NothingDone().has_value()" TO "return true"
   TOLD "broken: twice")
 planted_on_the_wire(wire_kept_after_doubt SOURCE system/decisions/request_lifecycle/lifecycle.cpp
-  FROM "if (reading.trusted && event.reply.reusable" TO "if (event.reply.reusable"
+  FROM "if (classification.trusted && event.reply.reusable" TO "if (event.reply.reusable"
   TOLD "broken: doubt")
 
 # Two fields of one type that change places in what is stored.
--- a/tests/system/proxy_wire_test.cpp
+++ b/tests/system/proxy_wire_test.cpp
@@ -426,7 +426,7 @@
       backend.address = addresses[i];
       backend.zone = "z";
       backend.slot_count = 4;
-      pool.Fold(0, {"backend/b" + std::to_string(i), 1, false, discovery::FormatBackend(backend)});
+      pool.ApplyItem(0, {"backend/b" + std::to_string(i), 1, false, discovery::FormatBackend(backend)});
     }
     exchanges.Serve(&front);
     exchanges.Open(true);
@@ -435,7 +435,7 @@
   routing::Routes routes;
   rate_limit::Admission admission;
   load_balancing::Pool pool;
-  load_balancing::Budget budget;
+  load_balancing::RetryBudget budget;
   drain::DrainManager drain{drain::DrainSchedule::ForGrace(6)};
   proxy::Exchanges exchanges;
   ClientServer front;
--- a/tests/system/request_lifecycle_test.cpp
+++ b/tests/system/request_lifecycle_test.cpp
@@ -14,7 +14,7 @@
 
 using namespace ivygw;
 using namespace ivygw::request_lifecycle;
-using load_balancing::Met;
+using load_balancing::AttemptResult;
 
 namespace {
 
@@ -29,10 +29,10 @@
     return {};
   }
   void OnAttemptStarted(const std::string&) override { ++out; }
-  void OnAttemptEnded(double, const std::string&, Met) override { --out; }
+  void OnAttemptEnded(double, const std::string&, AttemptResult) override { --out; }
   bool MayRetry(double, const std::string&) override { return budget; }
   void OnRetry(double, const std::string&) override { ++retries; }
-  bool Unwanted(const std::string& backend) override { return unwanted.count(backend) > 0; }
+  bool IsDrained(const std::string& backend) override { return unwanted.count(backend) > 0; }
 
   bool budget = true;
   int out = 0, retries = 0;
@@ -78,7 +78,7 @@
     if (const auto* send = FindEffect<SendRequest>(effects)) connection = send->connection;
   }
   void Admit(bool idempotent, int max_attempts, double now = 0) {
-    request = lifecycle.Arrive(ClientId{++clients});
+    request = lifecycle.StartRequest(ClientId{++clients});
     Tell(RequestAdmitted{request, "own", "s", idempotent, max_attempts, now + 100}, now);
   }
   void AdmitAndSend(bool idempotent, int max_attempts) {
@@ -112,10 +112,10 @@
 }
 
 bool ProvesNotDone(const AnswerFacts& facts) {
-  return std::holds_alternative<NotDone>(OutcomeOf(ReadAnswer(facts).evidence));
+  return std::holds_alternative<NotDone>(OutcomeOf(ClassifyAnswer(facts).evidence));
 }
 bool MayHaveRun(const AnswerFacts& facts) {
-  return std::holds_alternative<MayHaveBeenDone>(OutcomeOf(ReadAnswer(facts).evidence));
+  return std::holds_alternative<MayHaveBeenDone>(OutcomeOf(ClassifyAnswer(facts).evidence));
 }
 
 }  // namespace
@@ -124,27 +124,27 @@
 
 TEST(Answers, OnlyTheBackendsOwnWordPromisesThatNothingRan) {
   CHECK(ProvesNotDone(Facts(503, true, true, true, false, false)));
-  CHECK(ReadAnswer(Facts(421, true, true, false, false, false)).met == Met::kGone);
+  CHECK(ClassifyAnswer(Facts(421, true, true, false, false, false)).result == AttemptResult::kMisdirected);
   CHECK(ProvesNotDone(Facts(400, false, false, true, false, false)));  // it has read no id
   CHECK(MayHaveRun(Facts(503, false, true, true, false, false)));      // of another request
   // A promise that the backend does not give is not passed on.
   for (unsigned status : {503u, 429u, 408u}) {
     CHECK(MayHaveRun(Facts(status, true, true, false, true, false)));
-    CHECK(!ReadAnswer(Facts(status, true, true, false, true, false)).forwardable);
+    CHECK(!ClassifyAnswer(Facts(status, true, true, false, true, false)).forwardable);
   }
-  CHECK(ReadAnswer(Facts(200, true, true, false, true, false)).forwardable);
-  CHECK(!ReadAnswer(Facts(200, true, true, false, false, false)).trusted);  // without its seal
-  CHECK(!ReadAnswer(Facts(200, true, true, false, true, true)).trusted);    // encoded: not its body
-  CHECK(!ReadAnswer(Facts(200, false, true, false, true, false)).trusted);  // another request's
-  CHECK(!ReadAnswer(Facts(200, false, false, false, true, false)).trusted);
-  CHECK(ReadAnswer(Facts(500, true, true, false, true, false)).forwardable);
+  CHECK(ClassifyAnswer(Facts(200, true, true, false, true, false)).forwardable);
+  CHECK(!ClassifyAnswer(Facts(200, true, true, false, false, false)).trusted);  // without its seal
+  CHECK(!ClassifyAnswer(Facts(200, true, true, false, true, true)).trusted);    // encoded: not its body
+  CHECK(!ClassifyAnswer(Facts(200, false, true, false, true, false)).trusted);  // another request's
+  CHECK(!ClassifyAnswer(Facts(200, false, false, false, true, false)).trusted);
+  CHECK(ClassifyAnswer(Facts(500, true, true, false, true, false)).forwardable);
 }
 
 TEST(Answers, ARefusalWithoutAnIdIsBelievedOnlyWhereNoOtherRequestCanBeMeant) {
   for (unsigned status : {421u, 503u, 400u}) {
     CHECK(ProvesNotDone(Facts(status, false, false, true, false, false, true)));
     CHECK(MayHaveRun(Facts(status, false, false, true, false, false, false)));
-    CHECK(!ReadAnswer(Facts(status, false, false, true, false, false, false)).trusted);
+    CHECK(!ClassifyAnswer(Facts(status, false, false, true, false, false, false)).trusted);
     CHECK(ProvesNotDone(Facts(status, true, true, true, false, false, false)));
   }
 }
@@ -232,7 +232,7 @@
   AttemptId attempt = f.attempt;
   f.Tell(ConnectionLost{closed, true});  // while idle
   f.AdmitAndSend(true, 2);
-  uint64_t before = f.lifecycle.counters().events_of_ended;
+  uint64_t before = f.lifecycle.counters().stale_events;
   f.Tell(AnswerReceived{closed, OwnReply(200)});
   CHECK(f.effects.empty());
   f.Tell(ConnectTimedOut{f.connection, attempt});
@@ -243,7 +243,7 @@
   CHECK(f.effects.empty());
   f.Tell(ClientClosed{ClientId{1}});
   CHECK(f.effects.empty());
-  CHECK_EQUAL(before + 5, f.lifecycle.counters().events_of_ended);
+  CHECK_EQUAL(before + 5, f.lifecycle.counters().stale_events);
 }
 
 TEST(Lifecycles, WithoutABudgetNothingArrivesTwiceAndWhatDidNotArriveMayGoOn) {
