--- a/bench/proxy_cpu.cpp
+++ b/bench/proxy_cpu.cpp
@@ -116,7 +116,7 @@
   routing::Routes routes;
   config_model::Change change;
   if (!config_model::ReadChange(kConfiguration, &change).empty()) std::abort();
-  for (const auto& item : change.items) routes.Fold(item);
+  for (const auto& item : change.items) routes.ApplyItem(item);
   rate_limit::Admission admission(rate_limit::AdmissionOptions{});
   load_balancing::Pool pool(1, "z");
   discovery::Backend backend;
@@ -124,8 +124,8 @@
   backend.address = "127.0.0.1:" + std::to_string(backend_port);
   backend.zone = "z";
   backend.slot_count = kClients;
-  pool.Fold(0, {"backend/b", 1, false, discovery::FormatBackend(backend)});
-  load_balancing::Budget budget(0.2, 10, 60);
+  pool.ApplyItem(0, {"backend/b", 1, false, discovery::FormatBackend(backend)});
+  load_balancing::RetryBudget budget(0.2, 10, 60);
   drain::DrainManager drain(drain::DrainSchedule::ForGrace(6));
   proxy::Exchanges exchanges(io, &memory, &routes, &admission, &pool, &budget, &drain);
   ClientServer front(
--- a/system/decisions/call_routing/pending_calls.h
+++ b/system/decisions/call_routing/pending_calls.h
@@ -1,5 +1,5 @@
-// Calls that have been passed on to another process and wait for its answer: each answer goes to the caller
-// of its own call, or to nobody. Pure: the time (seconds of one steady clock) is told. One thread.
+// Calls that were forwarded to another process and wait for its answer. Each answer goes to the caller of its
+// call, or is dropped. Pure: the caller passes the time (seconds of one steady clock). One thread.
 #ifndef IVYGW_SYSTEM_CALL_ROUTING_PENDING_CALLS_H_
 #define IVYGW_SYSTEM_CALL_ROUTING_PENDING_CALLS_H_
 
@@ -10,41 +10,42 @@
 
 namespace ivygw::call_routing {
 
-// A caller's connection. Its number is never used again within one incarnation of the process.
+// Identifies a caller's connection. Never reused within one incarnation of the process.
 using CallerId = uint64_t;
-// Names one call among those of all incarnations of the process: the incarnation in the upper half, counted
-// in the lower.
+// Identifies a call among those of all incarnations of the process. The upper half is the incarnation, the
+// lower half a counter.
 using CallNumber = uint64_t;
 
 class PendingCalls {
  public:
-  // `incarnation`: drawn anew at each start of the process, so that an answer to a call of an earlier one is
-  // nobody's.
+  // `incarnation`: differs at entry start of the process, so that answers to calls of an earlier one are
+  // dropped.
   explicit PendingCalls(uint32_t incarnation) : incarnation_(incarnation) {}
 
-  // A call that is to be answered before `deadline`.
+  // Adds a call that expires at `deadline`.
   CallNumber Add(CallerId caller, double deadline);
-  // The caller that an answer belongs to. Nobody, and counted, where the call is of another incarnation, was
-  // answered or given up.
+  // Returns the caller of an answered call. Returns none, and counts the answer as dropped, if the call is of
+  // another incarnation, already answered or cancelled.
   std::optional<CallerId> Complete(CallNumber number);
-  // The caller's connection has ended: an answer is not wanted any more.
+  // Cancels the calls of a caller whose connection was closed.
   void Forget(CallerId caller);
-  // Callers whose answer is overdue; their calls are given up and may have been done.
+  // Removes expired calls, which may have been executed, and returns their callers.
   std::vector<CallerId> TakeExpired(double now);
-  // All callers that wait: the connection to the other process has ended. Their calls may have been done.
+  // Removes all calls because the connection to the other process was closed, and returns their callers. The
+  // calls may have been executed.
   std::vector<CallerId> TakeAll();
 
-  size_t size() const { return waiting_.size(); }
+  size_t size() const { return pending_.size(); }
   uint64_t dropped_answers() const { return dropped_answers_; }
 
  private:
-  struct Waiting {
+  struct PendingCall {
     CallerId caller = 0;
     double deadline = 0;
   };
   const uint32_t incarnation_;
-  uint32_t last_ = 0;
-  std::map<CallNumber, Waiting> waiting_;
+  uint32_t last_number_ = 0;
+  std::map<CallNumber, PendingCall> pending_;
   uint64_t dropped_answers_ = 0;
 };
 
--- a/system/decisions/config_model/json.cpp
+++ b/system/decisions/config_model/json.cpp
@@ -19,11 +19,11 @@
 std::string ErrorBody(std::string_view text) { return "{\"error\":" + Quoted(text) + "}"; }
 
 template <typename T, typename Out>
-Fault Object::Read(const char* field, Out* out, bool wanted, const char* kind) const {
+Fault Object::Read(const char* field, Out* out, bool required, const char* kind) const {
   dom::element element;
   simdjson::error_code error = object_.at_key(field).get(element);
   if (error == simdjson::NO_SUCH_FIELD || (!error && element.is_null())) {
-    return wanted ? Name(field) + ": missing" : Fault();
+    return required ? Name(field) + ": missing" : Fault();
   }
   T value{};
   if (error || element.get(value)) return Name(field) + ": " + kind + " is wanted";
@@ -36,23 +36,23 @@
   return {};
 }
 
-Fault Object::Get(const char* field, std::string* out, bool wanted) const {
-  return Read<std::string_view>(field, out, wanted, "a text");
+Fault Object::Get(const char* field, std::string* out, bool required) const {
+  return Read<std::string_view>(field, out, required, "a text");
 }
-Fault Object::Get(const char* field, int* out, bool wanted) const {
-  return Read<int64_t>(field, out, wanted, "a whole number");
+Fault Object::Get(const char* field, int* out, bool required) const {
+  return Read<int64_t>(field, out, required, "a whole number");
 }
-Fault Object::Get(const char* field, double* out, bool wanted) const {
-  return Read<double>(field, out, wanted, "a number");
+Fault Object::Get(const char* field, double* out, bool required) const {
+  return Read<double>(field, out, required, "a number");
 }
-Fault Object::Get(const char* field, bool* out, bool wanted) const {
-  return Read<bool>(field, out, wanted, "true or false");
+Fault Object::Get(const char* field, bool* out, bool required) const {
+  return Read<bool>(field, out, required, "true or false");
 }
 
-Fault Object::Strings(const char* field, std::vector<std::string>* out, bool wanted) const {
+Fault Object::Strings(const char* field, std::vector<std::string>* out, bool required) const {
   dom::array list;
   simdjson::error_code error = object_.at_key(field).get(list);
-  if (error == simdjson::NO_SUCH_FIELD) return wanted ? Name(field) + ": missing" : Fault();
+  if (error == simdjson::NO_SUCH_FIELD) return required ? Name(field) + ": missing" : Fault();
   if (error) return Name(field) + ": a list of texts is wanted";
   for (dom::element element : list) {
     std::string_view text;
@@ -62,10 +62,10 @@
   return {};
 }
 
-Fault Object::Numbers(const char* field, std::vector<int>* out, bool wanted) const {
+Fault Object::Numbers(const char* field, std::vector<int>* out, bool required) const {
   dom::array list;
   simdjson::error_code error = object_.at_key(field).get(list);
-  if (error == simdjson::NO_SUCH_FIELD) return wanted ? Name(field) + ": missing" : Fault();
+  if (error == simdjson::NO_SUCH_FIELD) return required ? Name(field) + ": missing" : Fault();
   if (error) return Name(field) + ": a list of numbers is wanted";
   for (dom::element element : list) {
     int64_t number = 0;
@@ -77,20 +77,20 @@
   return {};
 }
 
-Fault Object::Sub(const char* field, Object* out, bool* there) const {
+Fault Object::Sub(const char* field, Object* out, bool* present) const {
   dom::object object;
   simdjson::error_code error = object_.at_key(field).get(object);
-  *there = error != simdjson::NO_SUCH_FIELD;
-  if (!*there) return {};
+  *present = error != simdjson::NO_SUCH_FIELD;
+  if (!*present) return {};
   if (error) return Name(field) + ": an object is wanted";
   *out = Object(object, Name(field));
   return {};
 }
 
-Fault Object::Each(const char* field, bool wanted, const std::function<Fault(const Object&)>& take) const {
+Fault Object::Each(const char* field, bool required, const std::function<Fault(const Object&)>& take) const {
   dom::array list;
   simdjson::error_code error = object_.at_key(field).get(list);
-  if (error == simdjson::NO_SUCH_FIELD) return wanted ? Name(field) + ": missing" : Fault();
+  if (error == simdjson::NO_SUCH_FIELD) return required ? Name(field) + ": missing" : Fault();
   if (error) return Name(field) + ": a list is wanted";
   size_t n = 0;
   for (dom::element element : list) {
--- a/system/decisions/config_model/json.h
+++ b/system/decisions/config_model/json.h
@@ -1,4 +1,5 @@
-// Reading JSON. Simdjson with faults that name the field, as values. The library's errors stay inside.
+// Reads JSON with simdjson. Faults are returned as values that name the field; errors of the library do not
+// leave this module.
 #ifndef IVYGW_SYSTEM_CONFIG_MODEL_JSON_H_
 #define IVYGW_SYSTEM_CONFIG_MODEL_JSON_H_
 
@@ -12,39 +13,39 @@
 
 namespace ivygw::config_model {
 
-// As a JSON text, quotes included; control characters are left out.
+// Returns a JSON string with quotes. Control characters are omitted.
 std::string Quoted(std::string_view text);
-// {"error":...}, the body of a refusal.
+// Returns {"error":...}, the body of an error response.
 std::string ErrorBody(std::string_view text);
 
-// An object of a document, which outlives it, with its place in it for messages.
+// An object of a document, with its path for messages. The document must outlive it.
 class Object {
  public:
   using Fault = std::string;
   Object() = default;
-  Object(simdjson::dom::object object, std::string place) : object_(object), place_(std::move(place)) {}
+  Object(simdjson::dom::object object, std::string path) : object_(object), path_(std::move(path)) {}
 
   std::string Name(std::string_view field) const {
-    return place_.empty() ? std::string(field) : place_ + "." + std::string(field);
+    return path_.empty() ? std::string(field) : path_ + "." + std::string(field);
   }
-  // A field that is missing is a fault where it is `wanted`; otherwise `out` stays as it is. So is one of
-  // null.
-  Fault Get(const char* field, std::string* out, bool wanted = true) const;
-  Fault Get(const char* field, int* out, bool wanted = true) const;
-  Fault Get(const char* field, double* out, bool wanted = true) const;
-  Fault Get(const char* field, bool* out, bool wanted = true) const;
-  Fault Strings(const char* field, std::vector<std::string>* out, bool wanted = true) const;
-  Fault Numbers(const char* field, std::vector<int>* out, bool wanted = true) const;
-  Fault Sub(const char* field, Object* out, bool* there) const;
-  Fault Each(const char* field, bool wanted, const std::function<Fault(const Object&)>& take) const;
-  Fault Only(std::initializer_list<std::string_view> fields) const;  // no other field is there
+  // A missing or null field is a fault if it is `required`; otherwise `out` is unchanged.
+  Fault Get(const char* field, std::string* out, bool required = true) const;
+  Fault Get(const char* field, int* out, bool required = true) const;
+  Fault Get(const char* field, double* out, bool required = true) const;
+  Fault Get(const char* field, bool* out, bool required = true) const;
+  Fault Strings(const char* field, std::vector<std::string>* out, bool required = true) const;
+  Fault Numbers(const char* field, std::vector<int>* out, bool required = true) const;
+  Fault Sub(const char* field, Object* out, bool* present) const;
+  Fault Each(const char* field, bool required, const std::function<Fault(const Object&)>& take) const;
+  Fault Only(
+      std::initializer_list<std::string_view> fields) const;  // returns a fault if there is another field
   std::string Text() const { return simdjson::minify(object_); }
 
  private:
   template <typename T, typename Out>
-  Fault Read(const char* field, Out* out, bool wanted, const char* kind) const;
+  Fault Read(const char* field, Out* out, bool required, const char* kind) const;
   simdjson::dom::object object_;
-  std::string place_;
+  std::string path_;
 };
 
 class Document {
--- a/system/decisions/config_model/model.cpp
+++ b/system/decisions/config_model/model.cpp
@@ -47,7 +47,7 @@
   std::string target;
   if (!(fault = item.Get("target_service", &target, false)).empty()) return fault;
   if (!target.empty()) out->targets.push_back({target, 1});
-  double sum = target.empty() ? 0 : 1;
+  double total_weight = target.empty() ? 0 : 1;
   fault = item.Each("traffic_split", false, [&](const Object& part) -> Fault {
     std::string service;
     double weight = 0;
@@ -55,13 +55,13 @@
     if (!(bad = part.Get("target_service", &service)).empty()) return bad;
     if (!(bad = part.Get("weight", &weight)).empty()) return bad;
     if (!(weight >= 0) || !std::isfinite(weight)) return part.Name("weight") + ": must not be below 0";
-    sum += weight;
+    total_weight += weight;
     out->targets.push_back({service, weight});
     return {};
   });
   if (!fault.empty()) return fault;
   if (out->targets.empty()) return item.Name("target_service") + ": missing, and there is no traffic_split";
-  if (!(sum > 0)) return item.Name("traffic_split") + ": no weight is over 0";
+  if (!(total_weight > 0)) return item.Name("traffic_split") + ": no weight is over 0";
   return {};
 }
 
@@ -104,7 +104,7 @@
 }
 
 template <typename T>
-Fault FromText(const std::string& json, T* out, Fault (*read)(const Object&, T*)) {
+Fault ParseItem(const std::string& json, T* out, Fault (*read)(const Object&, T*)) {
   Document document;
   Object root;
   if (Fault fault = document.Read(json, &root); !fault.empty()) return fault;
@@ -112,7 +112,7 @@
   return read(root, out);
 }
 
-// Checks an item by its table.
+// Validates an item of the table.
 Fault CheckItem(std::string_view table, const Object& item) {
   if (table == kRoutes) {
     Route route;
@@ -142,33 +142,33 @@
   return {key.substr(0, slash), key.substr(slash + 1)};
 }
 
-Fault ReadRoute(const std::string& json, Route* out) { return FromText(json, out, ReadRoute); }
-Fault ReadTenant(const std::string& json, Tenant* out) { return FromText(json, out, ReadTenant); }
-Fault ReadService(const std::string& json, Service* out) { return FromText(json, out, ReadService); }
-Fault ReadLimits(const std::string& json, Limits* out) { return FromText(json, out, ReadLimits); }
+Fault ReadRoute(const std::string& json, Route* out) { return ParseItem(json, out, ReadRoute); }
+Fault ReadTenant(const std::string& json, Tenant* out) { return ParseItem(json, out, ReadTenant); }
+Fault ReadService(const std::string& json, Service* out) { return ParseItem(json, out, ReadService); }
+Fault ReadLimits(const std::string& json, Limits* out) { return ParseItem(json, out, ReadLimits); }
 
 Fault ReadChange(const std::string& json, Change* out) {
   Document document;
   Object root;
   if (Fault fault = document.Read(json, &root); !fault.empty()) return fault;
   std::map<std::string, size_t> seen;
-  auto take = [&](std::string_view table, const Object& item, bool dropped) -> Fault {
-    messages::Item made;
+  auto add_item = [&](std::string_view table, const Object& item, bool dropped) -> Fault {
+    messages::Item parsed;
     std::string name;
     Fault fault;
     if (table != kLimits && !(fault = item.Get("name", &name)).empty()) return fault;
     if (table != kLimits && name.empty()) return item.Name("name") + ": must not be empty";
-    if (!(fault = ReadVersion(item, &made.version)).empty()) return fault;
+    if (!(fault = ReadVersion(item, &parsed.version)).empty()) return fault;
     if (!dropped && !(fault = CheckItem(table, item)).empty()) return fault;
-    made.key = KeyOf(table, name);
-    made.dropped = dropped;
-    if (!dropped) made.body = item.Text();
-    // A name may be there more than once, as set and as dropped: its highest version prevails.
-    auto [at, fresh] = seen.try_emplace(made.key, out->items.size());
-    if (fresh) {
-      out->items.push_back(std::move(made));
-    } else if (made.version > out->items[at->second].version) {
-      out->items[at->second] = std::move(made);
+    parsed.key = KeyOf(table, name);
+    parsed.dropped = dropped;
+    if (!dropped) parsed.body = item.Text();
+    // A name may occur more than once, set or removed. Its highest version wins.
+    auto [at, inserted] = seen.try_emplace(parsed.key, out->items.size());
+    if (inserted) {
+      out->items.push_back(std::move(parsed));
+    } else if (parsed.version > out->items[at->second].version) {
+      out->items[at->second] = std::move(parsed);
     }
     return {};
   };
@@ -176,22 +176,22 @@
   for (bool dropped : {false, true}) {
     Object part;
     const char* name = dropped ? "remove_items" : "upsert_items";
-    bool there = false;
-    if (Fault fault = root.Sub(name, &part, &there); !fault.empty()) return fault;
-    if (!there) continue;
+    bool present = false;
+    if (Fault fault = root.Sub(name, &part, &present); !fault.empty()) return fault;
+    if (!present) continue;
     any = true;
     for (std::string_view table : {kRoutes, kTenants, kServices, kLimits}) {
       if (table == kLimits) {
         Object limits;
-        bool has = false;
-        if (Fault fault = part.Sub("limits", &limits, &has); !fault.empty()) return fault;
-        if (has) {
-          if (Fault fault = take(table, limits, dropped); !fault.empty()) return fault;
+        bool has_limits = false;
+        if (Fault fault = part.Sub("limits", &limits, &has_limits); !fault.empty()) return fault;
+        if (has_limits) {
+          if (Fault fault = add_item(table, limits, dropped); !fault.empty()) return fault;
         }
         continue;
       }
       Fault fault = part.Each(std::string(table).c_str(), false,
-                              [&](const Object& item) { return take(table, item, dropped); });
+                              [&](const Object& item) { return add_item(table, item, dropped); });
       if (!fault.empty()) return fault;
     }
     if (Fault fault = part.Only({kRoutes, kTenants, kServices, kLimits}); !fault.empty()) return fault;
@@ -200,7 +200,7 @@
   return {};
 }
 
-void Index::Fold(const messages::Item& item) {
+void Index::ApplyItem(const messages::Item& item) {
   versions_[item.key] = item.version;
   auto [table, name_view] = SplitKey(item.key);
   std::string name(name_view);
@@ -212,28 +212,29 @@
     }
   }
   if (table != kTenants) return;
-  for (const std::string& key : keys_[name]) {
-    auto it = holders_.find(key);
+  for (const std::string& key : keys_by_tenant_[name]) {
+    auto it = tenants_by_key_.find(key);
     it->second.erase(name);
-    if (it->second.empty()) holders_.erase(it);
+    if (it->second.empty()) tenants_by_key_.erase(it);
   }
-  keys_.erase(name);
+  keys_by_tenant_.erase(name);
   Tenant tenant;
   if (item.dropped || !ReadTenant(item.body, &tenant).empty()) return;
-  for (const std::string& key : tenant.keys) holders_[key].insert(name);
-  keys_[name] = std::move(tenant.keys);
-  std::sort(keys_[name].begin(), keys_[name].end());
-  keys_[name].erase(std::unique(keys_[name].begin(), keys_[name].end()), keys_[name].end());
+  for (const std::string& key : tenant.keys) tenants_by_key_[key].insert(name);
+  keys_by_tenant_[name] = std::move(tenant.keys);
+  std::sort(keys_by_tenant_[name].begin(), keys_by_tenant_[name].end());
+  keys_by_tenant_[name].erase(std::unique(keys_by_tenant_[name].begin(), keys_by_tenant_[name].end()),
+                              keys_by_tenant_[name].end());
 }
 
 void Index::Erase(const std::string& key) {
-  Fold({key, 0, true, ""});
+  ApplyItem({key, 0, true, ""});
   versions_.erase(key);
 }
 
 const std::set<std::string>* Index::Holders(const std::string& api_key) const {
-  auto it = holders_.find(api_key);
-  return it == holders_.end() ? nullptr : &it->second;
+  auto it = tenants_by_key_.find(api_key);
+  return it == tenants_by_key_.end() ? nullptr : &it->second;
 }
 
 uint64_t Index::VersionOf(const std::string& key) const {
@@ -241,33 +242,34 @@
   return it == versions_.end() ? 0 : it->second;
 }
 
-Fault CheckChange(const Change& change, const Index& standing) {
-  // Items that a higher version holds back are checked, too: a call is valid whole or not at all.
-  std::map<std::string, const messages::Item*> winning;  // of the call, over what stands
+Fault CheckChange(const Change& change, const Index& committed) {
+  // Also checks items that a higher version supersedes: a call is valid as a whole or not at all.
+  std::map<std::string, const messages::Item*> winning;  // items of the call that replace committed ones
   std::set<std::string_view> services, dropped;
   for (const messages::Item& item : change.items) {
     auto [table, name] = SplitKey(item.key);
-    bool wins = item.version > standing.VersionOf(item.key);
+    bool wins = item.version > committed.VersionOf(item.key);
     if (wins) winning[item.key] = &item;
     if (table == kServices && wins) (item.dropped ? dropped : services).insert(name);
   }
-  std::map<std::string, std::string> owner;  // of each key that the call names, within the call
+  std::map<std::string, std::string> owner;  // of each API key in the call, within the call
   for (const messages::Item& item : change.items) {
     if (item.dropped) continue;
     auto [table, name] = SplitKey(item.key);
     if (table == kTenants) {
       Tenant tenant;
       ReadTenant(item.body, &tenant);
-      auto share = [&](const std::string& other) {
+      auto shared_key_fault = [&](const std::string& other) {
         return "tenant_table: api_keys: " + tenant.name + " and " + other + " share a key";
       };
-      for (const std::string& api : tenant.keys) {
-        auto [at, fresh] = owner.try_emplace(api, tenant.name);
-        if (!fresh && at->second != tenant.name) return share(at->second);
-        const std::set<std::string>* holders = standing.Holders(api);
+      for (const std::string& api_key : tenant.keys) {
+        auto [at, inserted] = owner.try_emplace(api_key, tenant.name);
+        if (!inserted && at->second != tenant.name) return shared_key_fault(at->second);
+        const std::set<std::string>* holders = committed.Holders(api_key);
         for (const std::string& holder : holders ? *holders : std::set<std::string>()) {
-          // One that the call itself sets anew is judged by what it holds then.
-          if (holder != tenant.name && !winning.count(KeyOf(kTenants, holder))) return share(holder);
+          // A tenant that the call also replaces is checked with its new keys.
+          if (holder != tenant.name && !winning.count(KeyOf(kTenants, holder)))
+            return shared_key_fault(holder);
         }
       }
     }
@@ -275,7 +277,7 @@
     Route route;
     ReadRoute(item.body, &route);
     for (const auto& [service, weight] : route.targets) {
-      if (services.count(service) || (standing.Service(service) && !dropped.count(service))) continue;
+      if (services.count(service) || (committed.Service(service) && !dropped.count(service))) continue;
       return "route_table: " + route.name + ": target_service: " + service + " is no service";
     }
   }
--- a/system/decisions/config_model/model.h
+++ b/system/decisions/config_model/model.h
@@ -1,4 +1,4 @@
-// The configuration. Its items as values, read from JSON by simdjson and checked. Pure.
+// The configuration model: items as values, parsed from JSON with simdjson and validated. Pure.
 #ifndef IVYGW_SYSTEM_CONFIG_MODEL_MODEL_H_
 #define IVYGW_SYSTEM_CONFIG_MODEL_MODEL_H_
 
@@ -14,21 +14,21 @@
 
 namespace ivygw::config_model {
 
-// What went wrong, for an operator's eyes: empty where nothing did. Outcomes are values here.
+// An error message for the operator; empty if there is none.
 using Fault = std::string;
 
 struct Route {
   std::string name, host, prefix;
-  bool idempotent = false, open = false;  // open: public_access, no key wanted
+  bool idempotent = false, open = false;  // open: public_access, no API key required
   int timeout_ms = 0, target_latency_ms = 0, priority = 0, max_attempts = 1;
-  std::vector<std::pair<std::string, double>> targets;  // services by weight; one at least
+  std::vector<std::pair<std::string, double>> targets;  // services with their weights; at least one
 };
 struct Tenant {
   std::string name;
   std::vector<std::string> keys;
   std::optional<int> priority;
-  double rate_per_s = 0, burst = 0;  // requests; a rate of 0: no limit
-  uint64_t version = 0;              // of its item, where that is known
+  double rate_per_s = 0, burst = 0;  // in requests; a rate of 0 means no limit
+  uint64_t version = 0;              // of its item, if known
 };
 struct Service {
   std::string name, health_path;
@@ -41,46 +41,46 @@
 
 inline constexpr std::string_view kRoutes = "route_table", kTenants = "tenant_table",
                                   kServices = "service_table", kLimits = "limits";
-// The key under which an item of a table is replicated.
+// Returns the key under which an item of a table is replicated.
 std::string KeyOf(std::string_view table, std::string_view name);
-// Its table, and its name.
+// Splits a key into table and name.
 std::pair<std::string_view, std::string_view> SplitKey(std::string_view key);
 
-// Each reads the JSON of one item; a fault names the field.
+// Each parses the JSON of one item. A fault names the field.
 Fault ReadRoute(const std::string& json, Route* out);
 Fault ReadTenant(const std::string& json, Tenant* out);
 Fault ReadService(const std::string& json, Service* out);
 Fault ReadLimits(const std::string& json, Limits* out);
 
-// A call of configuration.modify: its items, those to be removed among them as dropped ones.
+// A call of configuration.modify. Items to be removed are marked as dropped.
 struct Change {
   std::vector<messages::Item> items;
 };
-// The whole call is read before anything of it counts.
+// Parses a whole call; nothing of it is applied if any part is invalid.
 Fault ReadChange(const std::string& json, Change* out);
 
-// What a check of a change needs to know of all that stands, kept up item by item.
+// An index of the committed configuration for validating changes, updated item by item.
 class Index {
  public:
-  void Fold(const messages::Item& item);  // the newest of its key
-  void Erase(const std::string& key);     // nothing stands under it any more
-  // Of a tenant's key, the tenants that hold it; whether there is such a service.
+  void ApplyItem(const messages::Item& item);  // the latest version of its key
+  void Erase(const std::string& key);          // the key was removed
+  // Returns the tenants that have this API key; null if there are none.
   const std::set<std::string>* Holders(const std::string& api_key) const;
   bool Service(const std::string& name) const { return services_.count(name) > 0; }
   uint64_t VersionOf(const std::string& key) const;
 
  private:
   std::set<std::string> services_;
-  std::map<std::string, std::set<std::string>> holders_;
-  std::map<std::string, std::vector<std::string>> keys_;  // by tenant
+  std::map<std::string, std::set<std::string>> tenants_by_key_;
+  std::map<std::string, std::vector<std::string>> keys_by_tenant_;
   std::map<std::string, uint64_t> versions_;
 };
 
-// Whether a change may be taken on top of what stands: routes name services that are there, no two tenants
-// share a key.
-Fault CheckChange(const Change& change, const Index& standing);
+// Returns a fault if the change is not valid with the committed configuration: routes must name existing
+// services, and no two tenants may share an API key.
+Fault CheckChange(const Change& change, const Index& committed);
 
-// The answer to configuration.show.
+// Formats the answer to configuration.show.
 std::string WriteAll(const std::vector<messages::Item>& items);
 
 }  // namespace ivygw::config_model
--- a/system/decisions/config_store/configuration_policy.cpp
+++ b/system/decisions/config_store/configuration_policy.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// As callers write versions.
+// Formats a version as callers write it.
 std::string VersionText(uint64_t version) {
   char text[24];
   std::snprintf(text, sizeof(text), "%08llx", static_cast<unsigned long long>(version));
--- a/system/decisions/discovery/backend.h
+++ b/system/decisions/discovery/backend.h
@@ -1,4 +1,4 @@
-// What is known of backends. One start of a backend as the registry keeps it, and as gateways are told.
+// A backend process as the registry stores it and as gateways receive it.
 #ifndef IVYGW_SYSTEM_DISCOVERY_BACKEND_H_
 #define IVYGW_SYSTEM_DISCOVERY_BACKEND_H_
 
@@ -11,13 +11,14 @@
   std::string id, service, address, zone;
   int slot_count = 1;
   bool draining = false;
-  int warmup_left_ms = 0;  // how much longer it stays slow, when this was told
+  int warmup_left_ms = 0;  // remaining warm-up time when this was reported
   uint64_t sequence = 0;   // of the heartbeat that reported it
 };
 
-// Reads a heartbeat's body; `id` is the call's. Returns an empty text, or the fault with its field.
+// Reads the body of a heartbeat, which does not contain `id`. Returns an empty string, or the fault with its
+// field.
 std::string ParseHeartbeat(const std::string& json, Backend* out);
-// As an item's content: JSON; without id and sequence, which are the item's key and version.
+// Formats the JSON body of an item. Omits id and sequence, which are the item's key and version.
 std::string FormatBackend(const Backend& backend);
 std::string ParseBackend(const std::string& json, Backend* out);
 
--- a/system/decisions/discovery/journal.h
+++ b/system/decisions/discovery/journal.h
@@ -1,5 +1,5 @@
-// Events in memory. What has happened is appended to a journal, and views are folded from it, each at its own
-// pace. What all views have read is dropped. Pure; one thread.
+// An in-memory journal of events. Views are folded from it, each at its own pace. Events that all views have
+// read are dropped. Pure; one thread.
 #ifndef IVYGW_SYSTEM_DISCOVERY_JOURNAL_H_
 #define IVYGW_SYSTEM_DISCOVERY_JOURNAL_H_
 
@@ -15,10 +15,10 @@
 class Journal {
  public:
   using Fold = std::function<void(const Event&)>;
-  // From the next event on.
+  // Adds a view that receives the events appended from now on.
   void Attach(Fold fold) { views_.push_back({std::move(fold), begin_ + events_.size()}); }
   void Append(Event event) { events_.push_back(std::move(event)); }
-  // Every view reads what it has not read yet. Views may append; that is read, too.
+  // Passes all unread events to every view, including events that views append meanwhile.
   void Run() {
     for (bool any = true; any;) {
       any = false;
--- a/system/decisions/discovery/table_cache.h
+++ b/system/decisions/discovery/table_cache.h
@@ -1,8 +1,8 @@
-// A gateway's cache of a replicated table. What several cores push is merged item by item, so that within one
-// incarnation of the process nothing goes back to an older version. Pure; one thread.
+// A gateway's cache of a replicated table. Updates pushed by several cores are merged item by item, so that
+// no item returns to an older version while the process runs. Pure; one thread.
 //
-// Cores send the revision of their table with what they push. An update of an older revision never brings
-// back a key that a later list, or a later update, has shown to be removed.
+// Cores send the revision of their table with each update. An update of an older revision never restores a
+// key that a later list or update has shown to be removed.
 #ifndef IVYGW_SYSTEM_DISCOVERY_TABLE_CACHE_H_
 #define IVYGW_SYSTEM_DISCOVERY_TABLE_CACHE_H_
 
@@ -21,7 +21,7 @@
 struct ItemChange {
   Table table;
   messages::Item item;
-  double at = 0;  // s, when it was told
+  double at = 0;  // when it was received, in seconds
 };
 
 class TableCache {
@@ -37,25 +37,25 @@
     }
   }
 
-  void OnState(double now, const messages::CoreStatus& state) {
+  void OnStatus(double now, const messages::CoreStatus& state) {
     epoch_ = std::max(epoch_, state.epoch);
     complete_ = complete_ || (state.list_complete && state.epoch >= epoch_);
     if (state.list_revision > 0) OnListCompleted(now, state);
   }
 
-  // A list is here from a core of the highest epoch known then, to which a majority had confirmed that
-  // nothing is missing. Stays so.
+  // Whether a complete list has been received from a core of the highest epoch known at that time, to which a
+  // majority had confirmed that nothing was missing. Never becomes false again.
   bool complete() const { return complete_; }
   uint64_t epoch() const { return epoch_; }
-  // By range, of what is here and isn't dropped.
+  // Digests of the present items, by range.
   const std::vector<uint64_t>& digests() const { return digests_; }
 
  private:
   struct CachedItem {
     messages::Item item;
-    uint64_t seen_at_revision = 0;  // the latest of a core's table
-    bool removed = false;           // the table holds nothing under this key any more
-    bool Counts() const { return !removed && !item.dropped; }
+    uint64_t seen_at_revision = 0;  // latest revision of a core's table that had it
+    bool removed = false;           // the table no longer has this key
+    bool IsPresent() const { return !removed && !item.dropped; }
   };
 
   void OnListCompleted(double now, const messages::CoreStatus& state) {
@@ -65,7 +65,7 @@
         RemoveIfOlder(now, &cached, state.list_revision);
     }
     list_revision_ = std::max(list_revision_, state.list_revision);
-    // What ended before the list can't be told anew by anything older than it.
+    // Updates older than the list are ignored for unknown keys, so tombstones older than it are not needed.
     std::erase_if(items_, [&](const auto& entry) {
       const CachedItem& cached = entry.second;
       return (cached.removed || cached.item.dropped) && cached.seen_at_revision < list_revision_;
@@ -90,7 +90,7 @@
     journal_->Append({table_, item, now});
   }
 
-  // The table holds nothing under the key at `revision`.
+  // The table has no such key at `revision`.
   void RemoveIfOlder(double now, CachedItem* cached, uint64_t revision) {
     if (cached->removed || cached->seen_at_revision >= revision) return;
     ToggleDigest(*cached);
@@ -103,9 +103,9 @@
     journal_->Append({table_, std::move(end), now});
   }
 
-  // Adds it to its range's digest, or takes it out.
+  // Adds the item to the digest of its range, or removes it.
   void ToggleDigest(const CachedItem& cached) {
-    if (!cached.Counts()) return;
+    if (!cached.IsPresent()) return;
     digests_[messages::RangeOf(cached.item.key, digests_.size())] ^= messages::DigestOf(cached.item);
   }
 
@@ -114,7 +114,7 @@
   std::map<std::string, CachedItem> items_;
   std::vector<uint64_t> digests_;
   uint64_t epoch_ = 0;
-  uint64_t list_revision_ = 0;  // the latest at which a list began that is here
+  uint64_t list_revision_ = 0;  // of the latest received list, when it began
   bool complete_ = false;
 };
 
--- a/system/decisions/drain/drain_manager.h
+++ b/system/decisions/drain/drain_manager.h
@@ -1,6 +1,6 @@
-// The planned end of a gateway in phases, as in Envoy's drain manager: it is announced while requests are
-// still served, then connections are closed, then new requests are refused while active ones end. A
-// request is served only where it can end before the process does, so that none is broken off.
+// Graceful shutdown of a gateway in phases, as in Envoy's drain manager. The drain is announced while
+// requests are still served; then idle connections are closed; then new requests are refused while active
+// ones complete. A request is served only if it can end before the process does, so that none is interrupted.
 //
 // Pure; one thread. Times are seconds of one steady clock.
 #ifndef IVYGW_SYSTEM_DRAIN_DRAIN_MANAGER_H_
@@ -11,11 +11,11 @@
 
 namespace ivygw::drain {
 
-// When each phase begins, in seconds after the drain did. Each is no earlier than the one before.
+// Start of each phase, in seconds after the start of the drain, in non-decreasing order.
 struct DrainSchedule {
-  double close_idle = 0;  // whoever asks for readiness has seen by now that there is none
+  double close_idle = 0;  // readiness checks have failed by now
   double refuse_new = 0;
-  double end = 0;  // whatever is still active
+  double end = 0;  // even if requests are active
 
   // `grace`: seconds between SIGTERM and SIGKILL; above 0.
   static DrainSchedule ForGrace(double grace) {
@@ -29,18 +29,18 @@
 };
 
 enum class DrainPhase {
-  kServing,    // no drain has begun
-  kAnnounced,  // not ready; each answer ends its connection
-  kClosing,    // and connections without a request are closed
-  kRefusing,   // and new requests are refused
-  kEnded,      // the process ends now
+  kServing,    // no drain is in progress
+  kAnnounced,  // not ready; each connection is closed after its answer
+  kClosing,    // also, connections without a request are closed
+  kRefusing,   // also, new requests are refused
+  kEnded,      // the process exits now
 };
 
 class DrainManager {
  public:
   explicit DrainManager(const DrainSchedule& schedule) : schedule_(schedule) {}
 
-  // Returns false, and changes nothing, where it has begun before.
+  // Returns false and changes nothing if the drain has already begun.
   bool Begin(double now) {
     if (begun_at_) return false;
     begun_at_ = now;
@@ -48,19 +48,19 @@
   }
   bool begun() const { return begun_at_.has_value(); }
 
-  // Whether a request may be sent on that ends by `deadline` at the latest.
+  // Whether a request may be served that ends at `deadline` at the latest.
   bool MayServe(double now, double deadline) const {
     if (!begun_at_) return true;
     return now < *begun_at_ + schedule_.refuse_new && deadline <= *begun_at_ + schedule_.end;
   }
 
-  // `requests_active`: any whose answer isn't out. `connections_open`: of clients, any.
+  // `requests_active`: some request has no complete answer yet. `connections_open`: some client is connected.
   DrainPhase PhaseAt(double now, bool requests_active, bool connections_open) const {
     if (!begun_at_) return DrainPhase::kServing;
-    double since = now - *begun_at_;
-    if (since >= schedule_.end) return DrainPhase::kEnded;
-    if (since >= schedule_.refuse_new) return requests_active ? DrainPhase::kRefusing : DrainPhase::kEnded;
-    if (since < schedule_.close_idle) return DrainPhase::kAnnounced;
+    double elapsed = now - *begun_at_;
+    if (elapsed >= schedule_.end) return DrainPhase::kEnded;
+    if (elapsed >= schedule_.refuse_new) return requests_active ? DrainPhase::kRefusing : DrainPhase::kEnded;
+    if (elapsed < schedule_.close_idle) return DrainPhase::kAnnounced;
     return requests_active || connections_open ? DrainPhase::kClosing : DrainPhase::kEnded;
   }
 
--- a/system/decisions/load_balancing/pool.cpp
+++ b/system/decisions/load_balancing/pool.cpp
@@ -6,103 +6,107 @@
 namespace ivygw::load_balancing {
 namespace {
 
-constexpr double kAvoidFirst = 0.4, kAvoidLongest = 4;  // s, after a failure and growing
-constexpr double kFullFor = 0.06;                       // s
-constexpr double kFar = 0.3;                            // of another zone: its bytes cost
-constexpr double kSlow = 2;                             // a backend that warms up takes so many times as long
+// Time for which a backend is avoided after a failure, doubled with each further one, in seconds.
+constexpr double kMinAvoidTime = 0.4, kMaxAvoidTime = 4;
+// Time for which a backend that rejected a request counts as overloaded, in seconds.
+constexpr double kOverloadedTime = 0.06;
+// Cost of a backend in another zone, whose traffic is charged.
+constexpr double kOtherZoneCost = 0.3;
+// Service time of a backend that warms up, as a multiple of the usual one.
+constexpr double kWarmUpSlowdown = 2;
 
 }  // namespace
 
 void Pool::ApplyItem(double now, const messages::Item& item) {
   size_t slash = item.key.find('/');
   std::string id = item.key.substr(slash + 1);
-  discovery::Backend told;
-  told.id = id;
-  if (!item.dropped && !discovery::ParseBackend(item.body, &told).empty()) return;
-  auto it = seen_.find(id);
+  discovery::Backend backend;
+  backend.id = id;
+  if (!item.dropped && !discovery::ParseBackend(item.body, &backend).empty()) return;
+  auto it = backends_.find(id);
   if (item.dropped) {
-    if (it == seen_.end()) return;
+    if (it == backends_.end()) return;
     services_[it->second.backend.service].erase(id);
-    seen_.erase(it);
+    backends_.erase(it);
   } else {
-    if (it != seen_.end() && it->second.backend.service != told.service)
+    if (it != backends_.end() && it->second.backend.service != backend.service)
       services_[it->second.backend.service].erase(id);
-    BackendState& seen = seen_[id];
-    seen.backend = told;
-    seen.warm_until = told.warmup_left_ms > 0 ? now + told.warmup_left_ms / 1000.0 : 0;
-    services_[told.service].insert(id);
-    seen.gone = false;
+    BackendState& state = backends_[id];
+    state.backend = backend;
+    state.warm_until = backend.warmup_left_ms > 0 ? now + backend.warmup_left_ms / 1000.0 : 0;
+    services_[backend.service].insert(id);
+    state.gone = false;
   }
-  dealt_ = false;
+  slots_assigned_ = false;
 }
 
-void Pool::SetGateways(const std::vector<messages::GatewayInfo>& members, const std::string& self) {
-  if (members == members_ && self == self_) return;
-  members_ = members;
+void Pool::SetGateways(const std::vector<messages::GatewayInfo>& gateways, const std::string& self) {
+  if (gateways == gateways_ && self == self_) return;
+  gateways_ = gateways;
   self_ = self;
-  dealt_ = false;
+  slots_assigned_ = false;
 }
 
-void Pool::Deal() {
-  dealt_ = true;
-  for (auto& [id, seen] : seen_) seen.own = 0;
-  // Within each zone first, where answers cost nothing between zones; a zone without gateways is dealt to
-  // all.
+void Pool::AssignSlots() {
+  slots_assigned_ = true;
+  for (auto& [id, state] : backends_) state.own_slots = 0;
+  // Slots are divided among the gateways of their own zone, because traffic between zones is charged.
   std::vector<std::string> peers;
   std::set<std::string> zones;
-  bool member = false;
-  for (const messages::GatewayInfo& other : members_) {
-    zones.insert(other.zone);
-    if (other.zone == zone_) peers.push_back(other.node);
-    member = member || other.node == self_;
+  bool is_member = false;
+  for (const messages::GatewayInfo& gateway : gateways_) {
+    zones.insert(gateway.zone);
+    if (gateway.zone == zone_) peers.push_back(gateway.node);
+    is_member = is_member || gateway.node == self_;
   }
-  if (!member) return;
-  size_t place = static_cast<size_t>(std::find(peers.begin(), peers.end(), self_) - peers.begin());
+  if (!is_member) return;
+  size_t own_index = static_cast<size_t>(std::find(peers.begin(), peers.end(), self_) - peers.begin());
   for (const auto& [service, ids] : services_) {
     std::vector<BackendState*> slots;
-    int most = 0;
-    for (const std::string& id : ids) most = std::max(most, seen_.at(id).backend.slot_count);
-    for (int round = 0; round < most; ++round) {
+    int max_slots = 0;
+    for (const std::string& id : ids) max_slots = std::max(max_slots, backends_.at(id).backend.slot_count);
+    for (int round = 0; round < max_slots; ++round) {
       for (const std::string& id : ids) {
-        BackendState& seen = seen_.at(id);
-        if (seen.backend.zone != zone_ || round >= seen.backend.slot_count || seen.backend.draining ||
-            seen.gone)
+        BackendState& state = backends_.at(id);
+        if (state.backend.zone != zone_ || round >= state.backend.slot_count || state.backend.draining ||
+            state.gone)
           continue;
-        slots.push_back(&seen);
+        slots.push_back(&state);
       }
     }
-    // Where slots don't go round evenly, services take turns in whom they give one more.
-    size_t first = (place + std::hash<std::string>()(service)) % peers.size();
-    for (size_t i = first; i < slots.size(); i += peers.size()) ++slots[i]->own;
+    // The gateways that get one slot more than others differ from service to service.
+    size_t first = (own_index + std::hash<std::string>()(service)) % peers.size();
+    for (size_t i = first; i < slots.size(); i += peers.size()) ++slots[i]->own_slots;
   }
 }
 
-// What is expected of a place there, in parts of a usual request's time.
-double Pool::Cost(double now, const BackendState& seen) const {
-  double slots = seen.backend.slot_count;
-  double cost = seen.active_requests < seen.own ? 0 : 0.5 + (seen.active_requests - seen.own) / slots;
-  if (seen.active_requests >= seen.backend.slot_count) cost += 1;
-  if (now < seen.warm_until) cost += kSlow - 1;
-  if (now < seen.full_until) cost += 2;
-  if (seen.backend.zone != zone_) cost += kFar;
+// Returns the expected cost of a request there, in units of the usual service time.
+double Pool::Cost(double now, const BackendState& state) const {
+  double slots = state.backend.slot_count;
+  double cost =
+      state.active_requests < state.own_slots ? 0 : 0.5 + (state.active_requests - state.own_slots) / slots;
+  if (state.active_requests >= state.backend.slot_count) cost += 1;
+  if (now < state.warm_until) cost += kWarmUpSlowdown - 1;
+  if (now < state.overloaded_until) cost += 2;
+  if (state.backend.zone != zone_) cost += kOtherZoneCost;
   return cost;
 }
 
 std::string Pool::Choose(double now, const std::string& service, const std::set<std::string>& tried) {
-  if (!dealt_) Deal();
+  if (!slots_assigned_) AssignSlots();
   auto it = services_.find(service);
   if (it == services_.end()) return {};
   std::string best;
-  double least = INFINITY;
-  std::uniform_real_distribution<double> chance(0, 0.3);
-  for (bool avoided : {false, true}) {
+  double lowest_cost = INFINITY;
+  std::uniform_real_distribution<double> jitter(0, 0.3);
+  for (bool allow_avoided : {false, true}) {
     for (const std::string& id : it->second) {
-      const BackendState& seen = seen_.at(id);
-      if (seen.gone || seen.backend.draining || tried.count(id)) continue;
-      if (!avoided && now < seen.avoid_until) continue;
-      double cost = Cost(now, seen) + chance(dice_) + (avoided ? seen.avoid_until - now : 0);
-      if (cost < least) {
-        least = cost;
+      const BackendState& state = backends_.at(id);
+      if (state.gone || state.backend.draining || tried.count(id)) continue;
+      if (!allow_avoided && now < state.avoid_until) continue;
+      double cost = Cost(now, state) + jitter(random_) + (allow_avoided ? state.avoid_until - now : 0);
+      if (cost < lowest_cost) {
+        lowest_cost = cost;
         best = id;
       }
     }
@@ -112,46 +116,47 @@
 }
 
 void Pool::OnAttemptStarted(const std::string& id) {
-  auto it = seen_.find(id);
-  if (it != seen_.end()) ++it->second.active_requests;
+  auto it = backends_.find(id);
+  if (it != backends_.end()) ++it->second.active_requests;
 }
 
 void Pool::OnAttemptEnded(double now, const std::string& id, AttemptResult result) {
-  auto it = seen_.find(id);
-  if (it == seen_.end()) return;
-  BackendState& seen = it->second;
-  if (seen.active_requests > 0) --seen.active_requests;
+  auto it = backends_.find(id);
+  if (it == backends_.end()) return;
+  BackendState& state = it->second;
+  if (state.active_requests > 0) --state.active_requests;
   switch (result) {
     case AttemptResult::kServed:
-      seen.failures = 0;
-      seen.avoid_until = 0;
+      state.failures = 0;
+      state.avoid_until = 0;
       break;
     case AttemptResult::kErrorStatus:
     case AttemptResult::kCancelled: break;
-    case AttemptResult::kOverloaded: seen.full_until = now + kFullFor; break;
+    case AttemptResult::kOverloaded: state.overloaded_until = now + kOverloadedTime; break;
     case AttemptResult::kMisdirected:
-      seen.gone = true;
-      dealt_ = false;
+      state.gone = true;
+      slots_assigned_ = false;
       break;
     case AttemptResult::kConnectionRefused:
     case AttemptResult::kTimedOut:
     case AttemptResult::kBroken: {
-      ++seen.failures;
-      if (result == AttemptResult::kBroken && seen.failures < 2) break;  // one broken answer tells little
-      double pause = std::min(kAvoidFirst * std::pow(2, seen.failures - 1), kAvoidLongest);
-      seen.avoid_until = now + pause;
+      ++state.failures;
+      if (result == AttemptResult::kBroken && state.failures < 2)
+        break;  // a single broken answer is not significant
+      double avoid_time = std::min(kMinAvoidTime * std::pow(2, state.failures - 1), kMaxAvoidTime);
+      state.avoid_until = now + avoid_time;
       break;
     }
   }
 }
 
 const BackendState* Pool::Find(const std::string& id) const {
-  auto it = seen_.find(id);
-  return it == seen_.end() ? nullptr : &it->second;
+  auto it = backends_.find(id);
+  return it == backends_.end() ? nullptr : &it->second;
 }
 bool Pool::IsDrained(const std::string& id) const {
-  auto it = seen_.find(id);
-  return it == seen_.end() ||
+  auto it = backends_.find(id);
+  return it == backends_.end() ||
          (it->second.active_requests == 0 && (it->second.gone || it->second.backend.draining));
 }
 
--- a/system/decisions/load_balancing/pool.h
+++ b/system/decisions/load_balancing/pool.h
@@ -1,10 +1,10 @@
-// Choice of backends. The backends of each service as one gateway sees them, and which one a request goes to.
-// Folded from the registry's items and from what this gateway's own requests met. Pure: the time of each
-// event is told (seconds of one steady clock), chance is a generator's. One thread.
+// Load balancing: the backends of each service as one gateway sees them, and the choice of a backend for a
+// request. The state is derived from the registry's items and the results of this gateway's own attempts.
+// Pure: the caller passes the time of each event (seconds of one steady clock); random numbers come from a
+// seeded generator. One thread.
 //
-// How choices of gateways that know nothing of each other add up: the slots of each service are dealt out to
-// the gateways, so that each has some of its own which it takes first; only past these does it take a place
-// at another's backend.
+// Gateways choose without coordination. To spread their load, the slots of each service are divided among the
+// gateways: each uses its own slots first, and slots of other gateways only when its own are taken.
 #ifndef IVYGW_SYSTEM_LOAD_BALANCING_POOL_H_
 #define IVYGW_SYSTEM_LOAD_BALANCING_POOL_H_
 
@@ -20,56 +20,56 @@
 
 namespace ivygw::load_balancing {
 
-// How an attempt ended, as far as its backend is concerned.
+// How an attempt at a backend ended.
 enum class AttemptResult {
   kServed,
-  kErrorStatus,
-  kOverloaded,
-  kMisdirected,
-  kConnectionRefused,
+  kErrorStatus,        // 5xx, or 408 or 429, from the backend itself
+  kOverloaded,         // rejected with Not-Executed
+  kMisdirected,        // 421: another backend answers at the address
+  kConnectionRefused,  // the connection was not established
   kTimedOut,
-  kBroken,
-  kCancelled
+  kBroken,    // the connection was lost, or its answer can't be trusted
+  kCancelled  // ended by this gateway, or before its request was written
 };
 
 struct BackendState {
   discovery::Backend backend;
-  int active_requests = 0;  // attempts of this gateway
+  int active_requests = 0;  // of this gateway
   double warm_until = 0;
-  double avoid_until = 0;  // after failures
-  double full_until = 0;   // it said that it had no room
-  int failures = 0;        // in a row
-  bool gone = false;       // another backend answers at its address, or none
-  int own = 0;             // slots dealt to this gateway
+  double avoid_until = 0;       // after failures
+  double overloaded_until = 0;  // after it rejected a request
+  int failures = 0;             // consecutive
+  bool gone = false;            // its address belongs to another backend
+  int own_slots = 0;            // assigned to this gateway
 };
 
 class Pool {
  public:
-  explicit Pool(uint64_t seed, std::string zone) : zone_(std::move(zone)), dice_(seed) {}
+  explicit Pool(uint64_t seed, std::string zone) : zone_(std::move(zone)), random_(seed) {}
 
   void ApplyItem(double now, const messages::Item& item);
-  // The gateways that there are, this one by its place among them.
-  void SetGateways(const std::vector<messages::GatewayInfo>& members, const std::string& self);
+  // Sets the gateways of the cluster. `self`: this one among them.
+  void SetGateways(const std::vector<messages::GatewayInfo>& gateways, const std::string& self);
 
-  // Where a request for the service should go now; empty where nobody can take it. `tried` are left out.
+  // Returns the backend for a request to the service, never one of `tried`; empty if none is available.
   std::string Choose(double now, const std::string& service, const std::set<std::string>& tried);
   void OnAttemptStarted(const std::string& id);
   void OnAttemptEnded(double now, const std::string& id, AttemptResult result);
 
   const BackendState* Find(const std::string& id) const;
-  // Those that are no longer sent anything, with nothing out: their connections may go.
+  // Whether the backend receives no more requests and has none active, so that its connections may be closed.
   bool IsDrained(const std::string& id) const;
 
  private:
-  void Deal();
-  double Cost(double now, const BackendState& seen) const;
+  void AssignSlots();
+  double Cost(double now, const BackendState& state) const;
   const std::string zone_;
-  std::mt19937_64 dice_;
-  std::map<std::string, BackendState> seen_;               // by id
-  std::map<std::string, std::set<std::string>> services_;  // ids of each
-  std::vector<messages::GatewayInfo> members_;
+  std::mt19937_64 random_;
+  std::map<std::string, BackendState> backends_;           // by id
+  std::map<std::string, std::set<std::string>> services_;  // backend ids by service
+  std::vector<messages::GatewayInfo> gateways_;
   std::string self_;
-  bool dealt_ = true;
+  bool slots_assigned_ = true;
 };
 
 }  // namespace ivygw::load_balancing
--- a/system/decisions/load_balancing/retry_budget.h
+++ b/system/decisions/load_balancing/retry_budget.h
@@ -1,4 +1,4 @@
-// RetryBudget. How many further tries of requests may be made. Pure.
+// Budgets for retries, by service. Pure.
 #ifndef IVYGW_SYSTEM_LOAD_BALANCING_RETRY_BUDGET_H_
 #define IVYGW_SYSTEM_LOAD_BALANCING_RETRY_BUDGET_H_
 
@@ -9,39 +9,43 @@
 
 namespace ivygw::load_balancing {
 
-// The budget of further tries of each service, kept by each gateway for itself: a part of its own requests,
-// and an even part of the slack that all gateways have together.
+// The retry budget of each service at one gateway: a fraction of the gateway's own requests, and an even part
+// of the slack that all gateways share.
 class RetryBudget {
  public:
-  // `ratio`, `window_s`, `slack`: as the operators state them, for all gateways together.
+  // All gateways together stay within `ratio` retries per request plus `slack` retries, over windows of
+  // `window_s` seconds.
   RetryBudget(double ratio, double window_s, double slack)
       : ratio_(ratio), window_s_(window_s), slack_(slack) {}
   void SetGatewayCount(size_t gateways) { gateways_ = gateways; }
-  void OnRequest(double now, const std::string& service) { Of(now, service).requests.push_back(now); }
+  void OnRequest(double now, const std::string& service) { UsageOf(now, service).requests.push_back(now); }
   bool MayRetry(double now, const std::string& service) {
-    Use& use = Of(now, service);
-    // Windows slide: requests of the window count, further tries of one and a half.
-    double most = kOfRatio * ratio_ * static_cast<double>(use.requests.size()) +
-                  kOfSlack * slack_ / static_cast<double>(gateways_ + kJoiners);
-    return static_cast<double>(use.tries.size()) + 1 <= most;
+    Usage& usage = UsageOf(now, service);
+    // Windows slide, so retries are counted over a longer window than requests.
+    double max_retries = kRatioFraction * ratio_ * static_cast<double>(usage.requests.size()) +
+                         kSlackFraction * slack_ / static_cast<double>(gateways_ + kUnannouncedGateways);
+    return static_cast<double>(usage.retries.size()) + 1 <= max_retries;
   }
-  void OnRetry(double now, const std::string& service) { Of(now, service).tries.push_back(now); }
+  void OnRetry(double now, const std::string& service) { UsageOf(now, service).retries.push_back(now); }
 
  private:
-  static constexpr double kOfRatio = 0.8, kOfSlack = 0.8;
-  static constexpr size_t kJoiners = 2;  // that may come before all have heard of them
-  struct Use {
-    std::deque<double> requests, tries;
+  // Fractions of the ratio and of the slack that the gateways may use.
+  static constexpr double kRatioFraction = 0.8, kSlackFraction = 0.8;
+  // Gateways that may have joined without this one having been notified yet.
+  static constexpr size_t kUnannouncedGateways = 2;
+  struct Usage {
+    std::deque<double> requests, retries;
   };
-  Use& Of(double now, const std::string& service) {
-    Use& use = uses_[service];
-    while (!use.requests.empty() && use.requests.front() < now - window_s_) use.requests.pop_front();
-    while (!use.tries.empty() && use.tries.front() < now - 1.25 * window_s_) use.tries.pop_front();
-    return use;
+  Usage& UsageOf(double now, const std::string& service) {
+    Usage& usage = usage_[service];
+    while (!usage.requests.empty() && usage.requests.front() < now - window_s_) usage.requests.pop_front();
+    while (!usage.retries.empty() && usage.retries.front() < now - 1.25 * window_s_)
+      usage.retries.pop_front();
+    return usage;
   }
   const double ratio_, window_s_, slack_;
   size_t gateways_ = 1;
-  std::map<std::string, Use> uses_;
+  std::map<std::string, Usage> usage_;
 };
 
 }  // namespace ivygw::load_balancing
--- a/system/decisions/rate_limit/lease_terms.h
+++ b/system/decisions/rate_limit/lease_terms.h
@@ -1,48 +1,52 @@
-// The terms of quota leases: constants that the allocator at a core and the admission at a gateway share, and
-// the bound that follows from them.
+// Terms of quota leases: the constants shared by the allocator at a core and admission control at a gateway,
+// and the bound that follows from them.
 //
-// Bound. With a limit of r requests a second and a burst of b, N gateways and windows of w seconds, all
-// gateways together send in any window at most (kLeasedRateShare + kPooledRateShare) * r * w by flow,
-// kPooledBurstShare * b from the pools' stores, and what their buckets held when it began, some 1 +
-// kBucketDemandTime * demand each, and kIsolatedAllowance seconds of what each was granted, once a window at
-// most, by those that no core answers: within (r * w + b) * (1 + overrun) + slack as long as N stays under
-// kBucketSlackShare of the slack. Whichever machines can reach each other: each core allocates its own even
-// part, and knows its holders.
+// Bound. Let a limit be r requests per second with a burst of b, enforced by N gateways over windows of w
+// seconds. In any window, all gateways together send at most
+//   - (kLeasedRateShare + kPooledRateShare) * r * w from leases and pool refills,
+//   - kPooledBurstShare * b from tokens stored in the pools,
+//   - the tokens in their buckets at the start of the window, about 1 + kBucketDemandTime * demand each,
+//   - kIsolatedAllowance seconds of its grants for each gateway that no core answers, at most once a window.
+// This is within (r * w + b) * (1 + overrun) + slack while N is less than kBucketSlackShare of the slack. It
+// holds under any network partition, because each core allocates its own even part and knows its lease
+// holders.
 //
-// A grant ends in two steps, so that a gateway goes on serving while no core may allocate: all of it stands
-// for kLeaseTerm, kRetainedPart of it until kRetentionTerm. What a silent holder may retain counts as leased
-// until then, at the core that has granted it and at whoever takes that core's place.
+// A grant ends in two steps, so that a gateway can serve while no core may allocate: it is valid in full for
+// kLeaseTerm, and kRetainedPart of it until kRetentionTerm. The part that a silent holder may retain counts
+// as leased until then, both at the core that granted it and at a core that replaces that one.
 #ifndef IVYGW_SYSTEM_RATE_LIMIT_LEASE_TERMS_H_
 #define IVYGW_SYSTEM_RATE_LIMIT_LEASE_TERMS_H_
 
 namespace ivygw::rate_limit {
 
-// Of a grant, s, by the allocator's clock from when the report came.
+// Duration of a full grant, in seconds of the allocator's clock since it received the report.
 inline constexpr double kLeaseTerm = 12;
-// Of a grant, s likewise, in which kRetainedPart of it stands once its term is over.
+// End of the retained part of a grant, in seconds since the report was received.
 inline constexpr double kRetentionTerm = 60;
+// Fraction of a grant that its holder retains between the two terms.
 inline constexpr double kRetainedPart = 0.75;
-// s before either, at which its holder goes by that.
+// A holder ends either term this much earlier than the allocator does, in seconds.
 inline constexpr double kLeaseMargin = 0.5;
-// Of a limit's rate: granted for lease terms by all cores together, at most.
+// Fraction of a limit's rate that all cores together lease at most.
 inline constexpr double kLeasedRateShare = 0.75;
-// Of a limit's rate: given as tokens by all cores together; and what of kLeasedRateShare nobody wants.
+// Fraction of a limit's rate that all cores together give as pool tokens, in addition to unused leasable
+// rate.
 inline constexpr double kPooledRateShare = 0.33;
-// Of a limit's burst: held by all pools together.
+// Fraction of a limit's burst that all pools together hold.
 inline constexpr double kPooledBurstShare = 0.3;
-// s of its demand that a gateway's bucket holds.
+// Demand that a gateway's bucket holds, in seconds.
 inline constexpr double kBucketDemandTime = 0.9;
-// s of its grants that a gateway adds once when no core answers it.
+// Extra tokens that a gateway adds once when no core answers, in seconds of its grants.
 inline constexpr double kIsolatedAllowance = 0.5;
-// s, for which a request waits for its token.
+// Longest time that a request waits for a token, in seconds.
 inline constexpr double kTokenTimeout = 0.03;
-// s, within which a core answers a report.
+// Time within which a core answers a report, in seconds.
 inline constexpr double kCoreTimeout = 0.6;
-// Parts of the slack that the operators allow.
+// Fractions of the allowed slack that are used for buckets and for the rate.
 inline constexpr double kBucketSlackShare = 0.7;
 inline constexpr double kRateSlackShare = 0.2;
 
-// What stands of a granted share at this age, in s.
+// Returns the part of a granted share that is valid at this age, in seconds.
 inline constexpr double ShareInForce(double share, double age) {
   if (age < kLeaseTerm) return share;
   return age < kRetentionTerm ? kRetainedPart * share : 0;
--- a/system/decisions/rate_limit/quota_allocator.cpp
+++ b/system/decisions/rate_limit/quota_allocator.cpp
@@ -7,10 +7,12 @@
 namespace ivygw::rate_limit {
 namespace {
 
-constexpr double kShareInterval = 0.2;  // s
-constexpr double kQuiet =
-    2;  // s; who has not reported for so long wants nothing more, but keeps what it holds
-constexpr double kForgetAfter = kRetentionTerm + kLeaseTerm;  // s; its count of requests is kept until then
+// Interval at which shares are recomputed, in seconds.
+constexpr double kShareInterval = 0.2;
+// A gateway that has not reported for this long, in seconds, demands no more, but keeps its lease.
+constexpr double kDemandTimeout = 2;
+// A silent gateway's lease and its request count are dropped after this time, in seconds.
+constexpr double kLeaseExpiry = kRetentionTerm + kLeaseTerm;
 
 }  // namespace
 
@@ -44,7 +46,7 @@
 
 void QuotaAllocator::RefillPool(double now, Tenant* tenant, double part) const {
   double maximum = kPooledBurstShare * tenant->burst * part;
-  // What is not leased. While holders are awaited, all that may be leased counts as leased.
+  // Refills at the rate that is not leased. During recovery, the whole leasable share counts as leased.
   double leasable = kLeasedRateShare * part, leased = tenant->leased;
   if (RetainedIsUnknown(now)) leased = std::min(leasable, leased + kRetainedPart * leasable);
   if (Recovering(now)) leased = leasable;
@@ -58,21 +60,21 @@
   tenant->pool_filled_at = now;
 }
 
-// Max-min fair among those that report: nobody gets more while another that wants more has less. What nobody
-// wants stays in the pool.
+// Max-min fairness among the gateways that report: no lease exceeds another one that is below its demand. The
+// share that is not demanded stays in the pool.
 double QuotaAllocator::FairShare(const Tenant& tenant, double maximum, double now) {
-  std::vector<double> wants;
+  std::vector<double> demands;
   for (const auto& [gateway, lease] : tenant.leases) {
-    if (now - lease.reported_at < kQuiet) wants.push_back(lease.wanted_share);
+    if (now - lease.reported_at < kDemandTimeout) demands.push_back(lease.wanted_share);
   }
-  std::sort(wants.begin(), wants.end());
-  double left = maximum;
-  size_t n = wants.size();
-  for (double want : wants) {
-    double even = left / static_cast<double>(n);
-    if (want > even) return even;  // all that want more than this have as much
-    left -= want;
-    --n;
+  std::sort(demands.begin(), demands.end());
+  double remaining = maximum;
+  size_t count = demands.size();
+  for (double demand : demands) {
+    double even = remaining / static_cast<double>(count);
+    if (demand > even) return even;  // every larger demand gets this much
+    remaining -= demand;
+    --count;
   }
   return std::numeric_limits<double>::infinity();
 }
@@ -88,15 +90,15 @@
   }
 }
 
-void QuotaAllocator::Count(double now, Tenant* tenant, Lease* lease) {
+void QuotaAllocator::UpdateCountedShare(double now, Tenant* tenant, Lease* lease) {
   double in_use = lease->InUse(now);
   tenant->leased += in_use - lease->counted;
   lease->counted = in_use;
 }
 
-// What was granted before this start is known from the holders' reports alone. Until the term of the others
-// is over, nothing else is granted; until their retention is over, a holder keeps what it holds, and no more
-// is granted than fits beside what the others may retain.
+// Grants of an earlier incarnation are known only from their holders' reports. During recovery, a holder
+// keeps what it reports and nothing else is granted. Until the retention term is over, a holder still keeps
+// its share, and new grants must fit beside the shares that silent gateways may retain.
 double QuotaAllocator::ShareToGrant(const Tenant& tenant, const Lease& lease, double held, double part,
                                     double now) const {
   double leasable = kLeasedRateShare * part;
@@ -104,8 +106,8 @@
   if (Recovering(now)) return std::min({held, std::max(0.0, leasable - others), leasable});
   bool unknown = RetainedIsUnknown(now);
   double maximum = unknown ? (1 - kRetainedPart) * leasable : leasable;
-  double room = std::max(unknown ? std::min(held, leasable) : 0.0, maximum - others);
-  return std::min({lease.wanted_share, tenant.fair_share, room});
+  double available = std::max(unknown ? std::min(held, leasable) : 0.0, maximum - others);
+  return std::min({lease.wanted_share, tenant.fair_share, available});
 }
 
 void QuotaAllocator::OnUsage(double now, uint64_t incarnation, const messages::TenantUsage& usage,
@@ -113,10 +115,10 @@
   if (lease->incarnation == incarnation) {
     tenant->total += usage.admitted - std::min(usage.admitted, lease->admitted);
   } else {
-    // What a gateway that is new to this process has admitted was counted by this core's earlier incarnation,
-    // if at all.
-    bool met = lease->incarnation != 0;
-    if (met) tenant->total += usage.admitted;
+    // Requests that a gateway admitted before it first reported to this process were counted, if at all, by
+    // an earlier incarnation of this core.
+    bool known = lease->incarnation != 0;
+    if (known) tenant->total += usage.admitted;
     tenant->leased -= lease->counted;
     *lease = Lease();
     lease->incarnation = incarnation;
@@ -146,14 +148,14 @@
     Lease& lease = tenant.leases[gateway];
     OnUsage(now, incarnation, usage, &tenant, &lease);
     Refresh(now, part, &tenant);
-    // Worked out a few times a second at most: most reports only ask for a batch.
+    // Most reports only request a batch of tokens, so the share is recomputed at kShareInterval.
     if (now >= lease.computed_at + kShareInterval) {
       lease.computed_at = now;
       double held = std::max(0.0f, usage.held_share);
       lease.share = ShareToGrant(tenant, lease, held, part, now);
       lease.max_in_use = std::max(lease.share, held);
     }
-    Count(now, &tenant, &lease);
+    UpdateCountedShare(now, &tenant, &lease);
     double share = lease.share;
     double tokens = std::min(tenant.pool, static_cast<double>(std::max(0.0f, usage.shortfall)));
     tenant.pool -= tokens;
@@ -166,7 +168,7 @@
   for (auto it = tenants_.begin(); it != tenants_.end();) {
     auto& leases = it->second.leases;
     for (auto at = leases.begin(); at != leases.end();) {
-      bool ended = now - at->second.reported_at > kForgetAfter;
+      bool ended = now - at->second.reported_at > kLeaseExpiry;
       if (ended) it->second.leased -= at->second.counted;
       at = ended ? leases.erase(at) : std::next(at);
     }
--- a/system/decisions/rate_limit/quota_allocator.h
+++ b/system/decisions/rate_limit/quota_allocator.h
@@ -1,11 +1,11 @@
-// Allocation of tenants' rate limits at one core: grants gateways a share of each limit for a lease term and
-// tokens from a pool, max-min fair by demand, and counts what they have admitted.
+// Quota allocation at one core: grants gateways a max-min fair share of each tenant's rate limit for a lease
+// term, and tokens from a pool, and counts the requests that they have admitted.
 //
-// Every core allocates its own even part of each limit by itself and never needs to know another's grants:
-// all that is granted stays within the limit whichever machines can reach each other. lease_terms.h states
-// the bound. What a report costs doesn't grow with the gateways: what all of a tenant's leases come to is
-// kept as a sum, and worked out in full only a few times a second. Pure: times are seconds of one steady
-// clock. One thread.
+// Every core allocates its own even part of each limit and does not need to know the other cores' grants, so
+// that the sum of all grants stays within the limit under any network partition. lease_terms.h states the
+// bound. The cost of a report does not grow with the number of gateways: the sum of a tenant's leases is
+// updated incrementally and recomputed in full only a few times a second. Pure: times are seconds of one
+// steady clock. One thread.
 #ifndef IVYGW_SYSTEM_RATE_LIMIT_QUOTA_ALLOCATOR_H_
 #define IVYGW_SYSTEM_RATE_LIMIT_QUOTA_ALLOCATOR_H_
 
@@ -21,64 +21,63 @@
 
 class QuotaAllocator {
  public:
-  // `first_boot`: nothing can have been granted before this start. Otherwise only what gateways report to
-  // hold is granted again, until all that may hold something have reported, or a lease term is over. Then
-  // what the others may retain is left out, until kRetentionTerm is over.
+  // `first_boot`: nothing can have been granted before this start. Otherwise the allocator recovers: it only
+  // renews the shares that gateways report to hold, until every possible holder has reported or a lease term
+  // has passed. After that, and until kRetentionTerm has passed, it withholds what the others may retain.
   QuotaAllocator(double now, bool first_boot);
-  // Gateways that may hold a grant of an earlier incarnation, all of it or what is retained of it. May be
-  // called more than once.
+  // Sets the gateways that may hold a grant of an earlier incarnation of this core, in full (`holders`) or
+  // the retained part of it (`retaining`). May be called more than once.
   void OnLeaseHolders(const std::vector<std::string>& holders,
                       const std::vector<std::string>& retaining = {});
-  // This core has taken the place of another, whose holders may retain something until then.
+  // This core has replaced another, whose lease holders may retain a part of their grants until that time.
   void OnPredecessor(double retained_until) { predecessor_retained_until_ = retained_until; }
 
-  // The answer to a gateway's report. `incarnation`: of the gateway's process. `allocators`: how many cores
-  // allocate; each has an even part.
+  // Returns the grants that answer a gateway's report. `incarnation`: of the gateway's process. `allocators`:
+  // number of allocating cores, each of which has an even part of the limits.
   messages::QuotaGrants OnReport(double now, const std::string& gateway, uint64_t incarnation,
                                  const messages::UsageReport& report, size_t allocators);
-  // Drops leases that have ended. Some times a second.
+  // Drops leases that have ended. To be called a few times a second.
   void OnTime(double now);
 
-  // Grants only what gateways report to hold already.
+  // Whether only shares that gateways report to hold are granted.
   bool Recovering(double now) const;
-  // How many that may hold something have not reported since this start.
+  // Number of possible lease holders that have not reported since this start.
   size_t awaited_holder_count() const { return awaited_holders_.size(); }
 
  private:
   struct Lease {
-    double share = 0;  // as granted last
-    double max_in_use =
-        0;  // the most that it may be using: a smaller grant counts once its holder has reported it
-    double computed_at = -1;                   // when the share was computed last
+    double share = 0;  // last granted
+    // Upper bound of the share in use: a smaller grant counts only when its holder has reported it.
+    double max_in_use = 0;
+    double computed_at = -1;                   // when the share was last computed
     double wanted_share = 0, reported_at = 0;  // of its last report
     uint64_t incarnation = 0, admitted = 0;
-    double counted = 0;  // of it in the tenant's sum: never less than what is in use
-    // What its holder may use, by what was granted at its last report.
+    double counted = 0;  // in the tenant's sum; never less than the share in use
+    // The share that its holder may use, according to the grant at its last report.
     double InUse(double now) const { return ShareInForce(max_in_use, now - reported_at); }
   };
   struct Tenant {
     std::map<std::string, Lease> leases;  // by gateway
     double rate = 0, burst = 0;           // of the newest limit that any gateway has reported
     uint64_t version = 0;
-    double leased = 0;                    // of the limit, to all gateways: the sum of what is counted
-    double fair_share = 0;                // the most that a lease has while another wants more than it has
-    double refreshed_at = -1;             // when both were worked out in full
-    double pool = 0, pool_filled_at = 0;  // requests; when it was filled last
+    double leased = 0;                    // sum of the leases' counted shares
+    double fair_share = 0;                // largest lease while another lease is below its demand
+    double refreshed_at = -1;             // when both were last recomputed
+    double pool = 0, pool_filled_at = 0;  // in requests; time of the last refill
     bool has_pool = false;
-    uint64_t total = 0;
+    uint64_t total = 0;  // admitted requests reported by all gateways
   };
-  // Works out in full what all leases of a tenant come to, and its fair share, where that is due.
+  // Recomputes the sum of a tenant's leases and its fair share, if kShareInterval has passed.
   static void Refresh(double now, double part, Tenant* tenant);
   static double FairShare(const Tenant& tenant, double maximum, double now);
-  // Counts what the lease has come to be since its holder's report.
-  static void Count(double now, Tenant* tenant, Lease* lease);
-  // A report of a holder: counts its requests. Of another incarnation: the leases have ended with the one
-  // before.
+  // Adjusts the tenant's sum to the share now in use by the lease.
+  static void UpdateCountedShare(double now, Tenant* tenant, Lease* lease);
+  // Counts the requests that a holder reports. A lease of an earlier incarnation of the holder has ended.
   static void OnUsage(double now, uint64_t incarnation, const messages::TenantUsage& usage, Tenant* tenant,
                       Lease* lease);
-  // The share to grant: within `part` of the limit, and with what others may use.
+  // Returns the share to grant: within `part` of the limit together with the shares that others may use.
   double ShareToGrant(const Tenant& tenant, const Lease& lease, double held, double part, double now) const;
-  // What of a limit gateways that haven't reported may retain isn't known.
+  // Whether gateways that have not reported may retain an unknown share.
   bool RetainedIsUnknown(double now) const;
   std::map<std::string, Tenant> tenants_;
   void RefillPool(double now, Tenant* tenant, double part) const;
--- a/system/decisions/registry/backend_records.cpp
+++ b/system/decisions/registry/backend_records.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr char kExpiredBody[] = "silent";  // of the tombstone of a backend that has expired
+constexpr char kExpiredBody[] = "silent";  // of the tombstone of an expired backend
 
 bool IsBackend(const Item& item) { return item.key.starts_with(kBackendPrefix); }
 bool HasExpired(const Item& item) { return item.dropped && item.body == kExpiredBody; }
@@ -20,35 +20,36 @@
   return !item.dropped && discovery::ParseBackend(item.body, &backend).empty() && backend.draining;
 }
 
-// Whether `item`, of a higher version, would bring back a backend that has announced its end.
-bool WouldRevive(const Item& item, const Item& standing) {
+// Whether `item`, of a higher version, would revive a backend that has announced its end.
+bool WouldRevive(const Item& item, const Item& committed) {
   if (!IsBackend(item) || item.dropped) return false;
-  if (standing.dropped) return !HasExpired(standing);
-  return IsDraining(standing) && !IsDraining(item);
+  if (committed.dropped) return !HasExpired(committed);
+  return IsDraining(committed) && !IsDraining(item);
 }
 
-// Whether a heartbeat reports what stands already, as far as others go by it.
+// Whether a heartbeat changes nothing that other processes use.
 bool SameState(const Backend& a, const Backend& b) {
   return a.service == b.service && a.address == b.address && a.slot_count == b.slot_count &&
          a.draining == b.draining && (a.warmup_left_ms > 0) == (b.warmup_left_ms > 0);
 }
 
-// Late, or of a backend that has announced its end: what it reports stands already, or is out of date.
-bool IsOutdated(const Backend& reported, const Item& standing, const Backend& known) {
-  return standing.dropped || standing.version >= reported.sequence || (known.draining && !reported.draining);
+// Whether a heartbeat arrived late or is from a backend that has announced its end.
+bool IsOutdated(const Backend& reported, const Item& committed, const Backend& known) {
+  return committed.dropped || committed.version >= reported.sequence ||
+         (known.draining && !reported.draining);
 }
 
 }  // namespace
 
-BackendUpdate OnHeartbeat(const Backend& reported, const Item* standing) {
+BackendUpdate OnHeartbeat(const Backend& reported, const Item* committed) {
   BackendUpdate update;
   update.wait_for_commit = reported.draining;
-  bool comes_back = standing && HasExpired(*standing) && reported.sequence > standing->version;
-  if (standing && !comes_back) {
+  bool returns = committed && HasExpired(*committed) && reported.sequence > committed->version;
+  if (committed && !returns) {
     Backend known;
-    discovery::ParseBackend(standing->body, &known);
-    if (IsOutdated(reported, *standing, known) || SameState(reported, known)) {
-      update.item = *standing;
+    discovery::ParseBackend(committed->body, &known);
+    if (IsOutdated(reported, *committed, known) || SameState(reported, known)) {
+      update.item = *committed;
       return update;
     }
   }
@@ -59,18 +60,18 @@
   return update;
 }
 
-Item OnExpired(const Item& standing) { return {standing.key, standing.version + 1, true, kExpiredBody}; }
+Item OnExpired(const Item& committed) { return {committed.key, committed.version + 1, true, kExpiredBody}; }
 
-BackendUpdate OnDeregister(const std::string& id, uint64_t sequence, const Item* standing) {
+BackendUpdate OnDeregister(const std::string& id, uint64_t sequence, const Item* committed) {
   BackendUpdate update;
   update.wait_for_commit = true;
-  if (standing && standing->dropped) {
-    update.item = *standing;
+  if (committed && committed->dropped) {
+    update.item = *committed;
     return update;
   }
-  // The last call of this start of the backend, whatever sequence number it bears.
+  // Deregistration is the last call of a backend process, whatever its sequence number.
   update.item.key = kBackendPrefix + id;
-  update.item.version = std::max(standing ? standing->version + 1 : 1, sequence);
+  update.item.version = std::max(committed ? committed->version + 1 : 1, sequence);
   update.item.dropped = true;
   update.write = true;
   return update;
@@ -80,10 +81,11 @@
                                     const replication::TableOverlay& overlay) const {
   Evaluation evaluation;
   for (const Item& item : items) {
-    const replication::Record* standing = overlay.Find(item.key);
-    replication::ItemEvaluation one = replication::EvaluateItem(item, standing, false);
-    bool applies = one.kind == Evaluation::Kind::kApply && !(standing && WouldRevive(item, standing->item));
-    if (applies) evaluation.records.push_back(std::move(one.record));
+    const replication::Record* committed = overlay.Find(item.key);
+    replication::ItemEvaluation evaluated = replication::EvaluateItem(item, committed, false);
+    bool applies =
+        evaluated.kind == Evaluation::Kind::kApply && !(committed && WouldRevive(item, committed->item));
+    if (applies) evaluation.records.push_back(std::move(evaluated.record));
   }
   if (!evaluation.records.empty()) evaluation.kind = Evaluation::Kind::kApply;
   return evaluation;
--- a/system/decisions/registry/backend_records.h
+++ b/system/decisions/registry/backend_records.h
@@ -1,8 +1,8 @@
-// What a backend's call changes in the registry's table, when it may be acknowledged, and which commands the
-// table accepts. Pure.
+// Determines what a backend's call changes in the registry's table, when the call may be acknowledged, and
+// which commands the table accepts. Pure.
 //
-// A backend is one item: its key is kBackendPrefix and its id, its version the sequence number of the call
-// that wrote it last, its body what FormatBackend writes. A tombstone ends it.
+// A backend is one item. Its key is kBackendPrefix followed by its id, its version the sequence number of the
+// call that last wrote it, and its body the output of FormatBackend. A tombstone marks its end.
 #ifndef IVYGW_SYSTEM_REGISTRY_BACKEND_RECORDS_H_
 #define IVYGW_SYSTEM_REGISTRY_BACKEND_RECORDS_H_
 
@@ -18,20 +18,20 @@
 inline constexpr char kBackendPrefix[] = "backend/";
 
 struct BackendUpdate {
-  messages::Item item;           // what is to stand
-  bool write = false;            // it doesn't stand yet
-  bool wait_for_commit = false;  // others rely on it: the call is acknowledged once it is decided
+  messages::Item item;           // the record that results from the call
+  bool write = false;            // the record must be proposed
+  bool wait_for_commit = false;  // others rely on it: acknowledge the call only when it is committed
 };
 
-// `standing`: what is decided to stand under the backend's key; null: nothing.
-BackendUpdate OnHeartbeat(const discovery::Backend& reported, const messages::Item* standing);
-// The backend has been silent for too long. It may come back, with a later heartbeat.
-messages::Item OnExpired(const messages::Item& standing);
-// `sequence`: of the call, 0 where it gives none.
-BackendUpdate OnDeregister(const std::string& id, uint64_t sequence, const messages::Item* standing);
+// `committed`: the committed item under the backend's key; null: none.
+BackendUpdate OnHeartbeat(const discovery::Backend& reported, const messages::Item* committed);
+// Returns the tombstone of a backend that sent no heartbeat for too long. A later heartbeat may revive it.
+messages::Item OnExpired(const messages::Item& committed);
+// `sequence`: of the call; 0: not given.
+BackendUpdate OnDeregister(const std::string& id, uint64_t sequence, const messages::Item* committed);
 
-// The higher version stands, of backends and of all other records. A backend that drains, or has been
-// deregistered, stays so, whatever command raced with that one.
+// The higher version wins, for backends and all other records. A backend that is draining or deregistered
+// stays so, whichever command was concurrent.
 class RegistryPolicy : public replication::CommandPolicy {
  public:
   void OnRecord(const replication::Record&) override {}
--- a/system/decisions/registry/heartbeat_tracker.h
+++ b/system/decisions/registry/heartbeat_tracker.h
@@ -1,9 +1,8 @@
-// When each backend was last heard by any core, and which have been silent so long that they have expired.
-// Pure; one thread.
+// Tracks when any core last received a heartbeat of each backend, and which backends have expired. Pure; one
+// thread.
 //
-// A core's silence is no silence of its backends: one whose heartbeats reach only an unreachable core would
-// seem to have gone. So no backend expires unless every known core has reported without a gap for the whole
-// expiry time.
+// A backend whose heartbeats reach only an unreachable core would seem to be gone. Therefore no backend
+// expires unless every known core has reported without a gap for the whole expiry time.
 #ifndef IVYGW_SYSTEM_REGISTRY_HEARTBEAT_TRACKER_H_
 #define IVYGW_SYSTEM_REGISTRY_HEARTBEAT_TRACKER_H_
 
@@ -19,14 +18,14 @@
 
 class HeartbeatTracker {
  public:
-  static constexpr Duration kExpiry{30};    // of silence
-  static constexpr Duration kReportGap{2};  // a core that reports nothing for so long has paused
+  static constexpr Duration kExpiry{30};    // without a heartbeat
+  static constexpr Duration kReportGap{2};  // longer pauses between reports of a core are a gap
 
   void OnHeartbeat(TimePoint now, const std::string& id) {
     last_heard_[id] = now;
     heard_here_.insert(id);
   }
-  // What another core has heard since its last report; an empty one counts, too.
+  // Backends that another core has heard from since its last report. Empty reports count, too.
   void OnReport(TimePoint now, const std::string& core, const std::vector<std::string>& ids) {
     auto [it, first] = cores_.try_emplace(core);
     Reports& reports = it->second;
@@ -34,13 +33,13 @@
     reports.last = now;
     for (const std::string& id : ids) last_heard_[id] = now;
   }
-  // For the other cores: backends heard here since the last call.
+  // Returns the backends heard here since the last call, to be reported to the other cores.
   std::vector<std::string> TakeReport() {
     std::vector<std::string> ids(heard_here_.begin(), heard_here_.end());
     heard_here_.clear();
     return ids;
   }
-  // Of these backends, those that have expired. `others`: every known core but this one.
+  // Returns those of the backends that have expired. `others`: every known core but this one.
   std::vector<std::string> Expired(TimePoint now, const std::vector<std::string>& ids,
                                    const std::set<std::string>& others) {
     bool all_report = std::all_of(others.begin(), others.end(), [&](const std::string& core) {
@@ -49,7 +48,7 @@
     });
     std::vector<std::string> expired;
     for (const std::string& id : ids) {
-      // One that was loaded from disk counts as heard now.
+      // A backend that was loaded from disk counts as heard now.
       TimePoint last = last_heard_.try_emplace(id, now).first->second;
       if (all_report && now > last + kExpiry) expired.push_back(id);
     }
@@ -59,7 +58,7 @@
 
  private:
   struct Reports {
-    TimePoint since, last;  // without a gap since then; the last one
+    TimePoint since, last;  // start of the reports without a gap; last report
   };
   std::map<std::string, TimePoint> last_heard_;  // by backend
   std::map<std::string, Reports> cores_;
--- a/system/decisions/request_lifecycle/answer_classification.h
+++ b/system/decisions/request_lifecycle/answer_classification.h
@@ -1,4 +1,4 @@
-// What an answer on a backend's connection proves about the request that waits there. Pure.
+// Classifies an answer on a backend's connection: what it proves about the request sent on it. Pure.
 #ifndef IVYGW_SYSTEM_REQUEST_LIFECYCLE_ANSWER_CLASSIFICATION_H_
 #define IVYGW_SYSTEM_REQUEST_LIFECYCLE_ANSWER_CLASSIFICATION_H_
 
@@ -10,20 +10,19 @@
 struct AnswerFacts {
   unsigned status = 0;
   bool has_id = false;        // has an Attempt-Id
-  bool own_id = false;        // and that is the id of the request that waits
+  bool own_id = false;        // and it is the id of the request sent on this connection
   bool not_executed = false;  // has Not-Executed
   bool sealed = false;        // has a Server-Seal
-  bool encoded = false;       // has a Content-Encoding, which a backend's own body never has
-  // Exactly one request was ever written to the connection: no answer on it can belong to another one.
+  bool encoded = false;       // has a Content-Encoding, which a backend itself never sends
+  // Exactly one request was ever written to the connection, so that no answer can belong to another one.
   bool sole_request = false;
 };
 
 struct AnswerClassification {
   Evidence evidence = Evidence::kUnidentifiedAnswer;
-  load_balancing::AttemptResult result =
-      load_balancing::AttemptResult::kBroken;  // for the choice of backends
-  bool trusted = false;                        // the answer to this request: its connection isn't in doubt
-  bool forwardable = false;                    // may go to the client as it stands
+  load_balancing::AttemptResult result = load_balancing::AttemptResult::kBroken;  // for load balancing
+  bool trusted = false;      // certainly the answer to this request, so the connection may be reused
+  bool forwardable = false;  // may be passed to the client unchanged
 };
 
 AnswerClassification ClassifyAnswer(const AnswerFacts& answer);
--- a/system/decisions/request_lifecycle/identities.h
+++ b/system/decisions/request_lifecycle/identities.h
@@ -1,6 +1,6 @@
-// Typed identities of the parts of a request's life. Each kind counts up from 1 and is never used again
-// within the life of the process, so an event that names an identity that has ended can be told from one that
-// names a live one.
+// Typed identifiers of clients, requests, attempts and connections. Each kind counts up from 1 and is never
+// reused while the process runs, so that an event for an object that no longer exists can be recognized as
+// stale.
 #ifndef IVYGW_SYSTEM_REQUEST_LIFECYCLE_IDENTITIES_H_
 #define IVYGW_SYSTEM_REQUEST_LIFECYCLE_IDENTITIES_H_
 
@@ -11,7 +11,7 @@
 
 namespace ivygw::request_lifecycle {
 
-// 0 names nothing. Identities of different kinds don't convert into each other.
+// 0 is invalid. Identifiers of different kinds do not convert into each other.
 template <typename Kind>
 struct Identity {
   uint64_t value = 0;
@@ -21,7 +21,7 @@
 
 using ClientId = Identity<struct ClientKind>;          // a client's connection
 using RequestId = Identity<struct RequestKind>;        // one request on a client's connection
-using AttemptId = Identity<struct AttemptKind>;        // one try of a request at one backend
+using AttemptId = Identity<struct AttemptKind>;        // one attempt of a request at one backend
 using ConnectionId = Identity<struct ConnectionKind>;  // a connection to a backend
 
 struct IdentityHash {
--- a/system/decisions/request_lifecycle/lifecycle.cpp
+++ b/system/decisions/request_lifecycle/lifecycle.cpp
@@ -9,11 +9,14 @@
 
 namespace {
 
-constexpr double kIdleDefault = 8;   // s, for which a connection is kept where the backend doesn't tell
-constexpr double kIdleMargin = 1.2;  // s, before the backend ends it
-constexpr double kIdleLeast = 0.1;   // s
-constexpr double kRetryAfter = 0.1;  // s, told with a refusal for want of a backend
-constexpr int kRefused = 503, kBadGateway = 502, kGatewayTimeout = 504;
+// Idle time after which a connection is closed if the backend does not state one, in seconds.
+constexpr double kDefaultIdleTime = 8;
+// An idle connection is closed this much earlier than the backend would close it, in seconds.
+constexpr double kIdleMargin = 1.2;
+constexpr double kMinIdleTime = 0.1;  // s
+// Retry delay reported when no backend is available, in seconds.
+constexpr double kRetryAfter = 0.1;
+constexpr int kServiceUnavailable = 503, kBadGateway = 502, kGatewayTimeout = 504;
 
 AnswerFacts FactsOf(const BackendReply& reply, const std::string& expected_id, uint32_t requests_written) {
   AnswerFacts facts;
@@ -51,14 +54,14 @@
 }
 
 RequestId Lifecycle::RequestOf(ClientId client) const {
-  auto it = of_client_.find(client);
-  return it == of_client_.end() ? RequestId() : it->second;
+  auto it = request_of_client_.find(client);
+  return it == request_of_client_.end() ? RequestId() : it->second;
 }
 
 RequestId Lifecycle::StartRequest(ClientId client) {
   RequestId id{++last_request_};
   requests_[id].client = client;
-  of_client_[client] = id;
+  request_of_client_[client] = id;
   return id;
 }
 
@@ -91,17 +94,18 @@
 }
 
 void Lifecycle::On(double now, const ClientClosed& event, Effects* effects) {
-  auto it = of_client_.find(event.client);
-  if (it == of_client_.end()) {
+  auto it = request_of_client_.find(event.client);
+  if (it == request_of_client_.end()) {
     ++counters_.stale_events;
     return;
   }
   RequestId id = it->second;
   Request& request = requests_.at(id);
   request.client_gone = true;
-  // What may run only once goes on to its end, now that it has been sent; all else frees its place at once.
+  // A request that was sent and is not idempotent continues to its end. Any other one frees its connection at
+  // once.
   if (request.phase == Phase::kAwaitingAnswer && !request.idempotent) {
-    of_client_.erase(it);
+    request_of_client_.erase(it);
     return;
   }
   if (request.connection.valid()) {
@@ -124,7 +128,7 @@
   if (now >= request->deadline) return Expire(now, id, request, effects);
   std::string backend = policy_->Choose(now, request->service, request->tried);
   if (backend.empty()) {
-    return ReplyOwn(id, request, kBadGateway, kRetryAfter, "no backend", "may have run", effects);
+    return SendOwnReply(id, request, kBadGateway, kRetryAfter, "no backend", "may have run", effects);
   }
   policy_->OnAttemptStarted(backend);
   request->tried.insert(backend);
@@ -144,14 +148,14 @@
   effects->emplace_back(OpenConnection{request->connection, request->attempt, id, request->backend});
 }
 
-// The idle connection to the backend that was used last; those that have rested too long are closed.
+// Returns the most recently used idle connection to the backend. Closes those that were idle for too long.
 ConnectionId Lifecycle::TakeIdle(double now, const std::string& backend, Effects* effects) {
   auto it = idle_.find(backend);
   if (it == idle_.end()) return {};
   while (!it->second.empty()) {
     ConnectionId id = it->second.back();
     it->second.pop_back();
-    if (now < connections_.at(id).keep_until) return id;
+    if (now < connections_.at(id).idle_until) return id;
     connections_.erase(id);
     effects->emplace_back(CloseConnection{id});
   }
@@ -182,11 +186,11 @@
     return;
   }
   bool open = connection->open;
-  bool kept = connection->written > 1;
+  bool reused = connection->written > 1;
   RequestId id = connection->request;
   Close(event.connection, effects);
   Request* request = Find(id);
-  if (!request) return;  // it was idle
+  if (!request) return;  // the connection was idle
   if (request->phase == Phase::kStreaming) {
     policy_->OnAttemptEnded(now, request->backend, AttemptResult::kBroken);
     effects->emplace_back(AbortReply{request->client, id});
@@ -197,20 +201,22 @@
                       effects);
   if (event.bytes_written)
     return EndAttempt(now, id, request, Evidence::kLostAfterWrite, AttemptResult::kBroken, effects);
-  if (kept) request->tried.erase(request->backend);  // it is as good as before, on another connection
+  if (reused)
+    request->tried.erase(request->backend);  // only the connection was stale: the backend may be chosen again
   EndAttempt(now, id, request, Evidence::kWriteRefused,
-             kept ? AttemptResult::kCancelled : AttemptResult::kBroken, effects);
+             reused ? AttemptResult::kCancelled : AttemptResult::kBroken, effects);
 }
 
 void Lifecycle::On(double now, const ConnectionStale& event, Effects* effects) {
   std::optional<Exchange> exchange = FindExchange(event.connection, effects);
   if (!exchange) return;
   Request* request = exchange->request;
-  bool kept = exchange->connection->written > 1;
+  bool reused = exchange->connection->written > 1;
   Close(event.connection, effects);
-  if (kept) request->tried.erase(request->backend);  // it is as good as before, on another connection
+  if (reused)
+    request->tried.erase(request->backend);  // only the connection was stale: the backend may be chosen again
   EndAttempt(now, exchange->request_id, request, Evidence::kClosedBeforeWrite,
-             kept ? AttemptResult::kCancelled : AttemptResult::kBroken, effects);
+             reused ? AttemptResult::kCancelled : AttemptResult::kBroken, effects);
 }
 
 void Lifecycle::On(double now, AnswerReceived&& event, Effects* effects) {
@@ -223,16 +229,17 @@
   if (!classification.trusted) ++counters_.untrusted_answers;
   if (classification.trusted && event.reply.reusable &&
       classification.result != AttemptResult::kMisdirected) {
-    Keep(now, event.connection, exchange->connection, event.reply.keep_alive_s);
+    KeepIdle(now, event.connection, exchange->connection, event.reply.keep_alive_s);
   } else {
     Close(event.connection, effects);
   }
   if (!classification.forwardable)
     return EndAttempt(now, id, request, classification.evidence, classification.result, effects);
-  // A failure of the backend's own has run: it is tried again only where that does no harm.
+  // A request that failed with a 5xx of the backend itself has run, so it is retried only if it is
+  // idempotent.
   if (classification.evidence == Evidence::kErrorAnswer && request->idempotent) {
-    bool again = request->arrived + 1 < request->max_attempts && policy_->MayRetry(now, request->service);
-    if (again) return EndAttempt(now, id, request, classification.evidence, classification.result, effects);
+    bool retry = request->arrived + 1 < request->max_attempts && policy_->MayRetry(now, request->service);
+    if (retry) return EndAttempt(now, id, request, classification.evidence, classification.result, effects);
   }
   policy_->OnAttemptEnded(now, request->backend, classification.result);
   if (!request->client_gone) {
@@ -250,7 +257,7 @@
       ClassifyAnswer(FactsOf(event.reply, request->attempt_id, exchange->connection->written));
   if (!classification.forwardable || request->client_gone) {
     Close(event.connection, effects);
-    // Only a whole answer proves more.
+    // Only a complete answer can prove more.
     Evidence evidence = classification.trusted ? Evidence::kLostAfterWrite : classification.evidence;
     return EndAttempt(now, exchange->request_id, request, evidence, AttemptResult::kBroken, effects);
   }
@@ -269,7 +276,7 @@
   if (!exchange || exchange->request->phase != Phase::kStreaming) return;
   policy_->OnAttemptEnded(now, exchange->request->backend, AttemptResult::kServed);
   if (event.reusable) {
-    Keep(now, event.connection, exchange->connection, 0);
+    KeepIdle(now, event.connection, exchange->connection, 0);
   } else {
     Close(event.connection, effects);
   }
@@ -297,16 +304,16 @@
   EndAttempt(now, id, Find(id), Evidence::kConnectTimedOut, AttemptResult::kTimedOut, effects);
 }
 
-bool Lifecycle::Repeatable(const Request& request) const {
+bool Lifecycle::IsRetrySafe(const Request& request) const {
   return request.idempotent || request.record.NothingDone().has_value();
 }
 
-bool Lifecycle::MayTryAgain(double now, const Request& request, Evidence evidence) {
-  if (!Repeatable(request)) return false;
+bool Lifecycle::MayRetry(double now, const Request& request, Evidence evidence) {
+  if (!IsRetrySafe(request)) return false;
   if (request.arrived >= request.max_attempts) return false;
   if (!MayHaveArrived(evidence) && request.not_sent > limits_.max_unsent_attempts) return false;
-  bool further_arrival = request.arrived > 0;
-  return !further_arrival || policy_->MayRetry(now, request.service);
+  bool is_retry = request.arrived > 0;
+  return !is_retry || policy_->MayRetry(now, request.service);
 }
 
 void Lifecycle::EndAttempt(double now, RequestId id, Request* request, Evidence evidence,
@@ -326,8 +333,8 @@
     ++counters_.rejected_by_backend;
   if (!std::holds_alternative<NotDone>(outcome)) ++counters_.unknown_outcomes;
   if (request->client_gone) return Release(id, effects);
-  if (!MayTryAgain(now, *request, evidence)) {
-    return ReplyOwn(id, request, kBadGateway, kRetryAfter, "not run", "may have run", effects);
+  if (!MayRetry(now, *request, evidence)) {
+    return SendOwnReply(id, request, kBadGateway, kRetryAfter, "not run", "may have run", effects);
   }
   if (request->arrived > 0) {
     policy_->OnRetry(now, request->service);
@@ -345,16 +352,16 @@
                             sent ? AttemptResult::kTimedOut : AttemptResult::kConnectionRefused);
     Close(request->connection, effects);
   }
-  ReplyOwn(id, request, kGatewayTimeout, kRetryAfter, "deadline", "deadline", effects);
+  SendOwnReply(id, request, kGatewayTimeout, kRetryAfter, "deadline", "deadline", effects);
 }
 
-// 503 where it is proved that nothing ran, else `unknown_status`.
-void Lifecycle::ReplyOwn(RequestId id, Request* request, int unknown_status, double retry_after_s,
-                         const char* not_run_reason, const char* unknown_reason, Effects* effects) {
+// Answers 503 if the request has provably not run, otherwise `unknown_status`.
+void Lifecycle::SendOwnReply(RequestId id, Request* request, int unknown_status, double retry_after_s,
+                             const char* not_run_reason, const char* unknown_reason, Effects* effects) {
   if (!request->client_gone) {
     if (std::optional<NotDone> proof = request->record.NothingDone()) {
       effects->emplace_back(
-          ReplyNotRun{request->client, id, *proof, kRefused, retry_after_s, not_run_reason});
+          ReplyNotRun{request->client, id, *proof, kServiceUnavailable, retry_after_s, not_run_reason});
     } else {
       effects->emplace_back(ReplyUnknown{request->client, id, unknown_status, unknown_reason});
     }
@@ -364,17 +371,17 @@
 
 void Lifecycle::Release(RequestId id, Effects* effects) {
   auto it = requests_.find(id);
-  auto of = of_client_.find(it->second.client);
-  if (of != of_client_.end() && of->second == id) of_client_.erase(of);
+  auto by_client = request_of_client_.find(it->second.client);
+  if (by_client != request_of_client_.end() && by_client->second == id) request_of_client_.erase(by_client);
   requests_.erase(it);
   effects->emplace_back(ReleaseRequest{id});
 }
 
-void Lifecycle::Keep(double now, ConnectionId id, Connection* connection, double keep_alive_s) {
+void Lifecycle::KeepIdle(double now, ConnectionId id, Connection* connection, double keep_alive_s) {
   connection->request = {};
   connection->attempt = {};
-  double rest = keep_alive_s > 0 ? std::max(kIdleLeast, keep_alive_s - kIdleMargin) : kIdleDefault;
-  connection->keep_until = now + rest;
+  double idle_time = keep_alive_s > 0 ? std::max(kMinIdleTime, keep_alive_s - kIdleMargin) : kDefaultIdleTime;
+  connection->idle_until = now + idle_time;
   idle_[connection->backend].push_back(id);
 }
 
@@ -388,9 +395,9 @@
 
 void Lifecycle::On(double now, const IdleSweep&, Effects* effects) {
   for (auto it = idle_.begin(); it != idle_.end();) {
-    bool unwanted = policy_->IsDrained(it->first);
+    bool drained = policy_->IsDrained(it->first);
     std::erase_if(it->second, [&](ConnectionId id) {
-      if (!unwanted && now < connections_.at(id).keep_until) return false;
+      if (!drained && now < connections_.at(id).idle_until) return false;
       connections_.erase(id);
       effects->emplace_back(CloseConnection{id});
       return true;
--- a/system/decisions/request_lifecycle/lifecycle.h
+++ b/system/decisions/request_lifecycle/lifecycle.h
@@ -1,8 +1,8 @@
-// The life of every request of a proxy, from its arrival to its one answer, as a state machine: events of
-// clients, of connections to backends and of timers in, effects out. Pure: no sockets, no clock; the time of
-// an event (seconds of one steady clock) is part of it. One thread.
+// State machine of all requests of a proxy, from their arrival to their single answer. Input are events of
+// clients, connections to backends and timers; output are effects. Pure: no sockets and no clock; the caller
+// passes the time of each event (seconds of one steady clock). One thread.
 //
-// An event that names an identity that has ended changes nothing, has no effects, and is counted.
+// A stale event, of a request, attempt or connection that no longer exists, is counted and has no effect.
 #ifndef IVYGW_SYSTEM_REQUEST_LIFECYCLE_LIFECYCLE_H_
 #define IVYGW_SYSTEM_REQUEST_LIFECYCLE_LIFECYCLE_H_
 
@@ -22,56 +22,55 @@
 
 namespace ivygw::request_lifecycle {
 
-// What goes to a client of an answer, or of its beginning.
+// The part of an answer, or of its start, that is passed to the client.
 struct AnswerContent {
   int status = 0;
   std::string headers;  // whole header lines
   std::string body;
-  std::optional<uint64_t> length;  // of the whole body, where it is known
+  std::optional<uint64_t> length;  // of the whole body, if known
 };
 
-// A backend's answer, or the beginning of a long one, with what its evidence is read from.
+// A backend's answer, or the start of a streamed one, with the facts by which it is classified.
 struct BackendReply {
-  std::string attempt_id;  // as the backend tells it; empty: none
+  std::string attempt_id;  // as returned by the backend; empty: none
   bool not_executed = false, sealed = false, encoded = false;
-  bool reusable = false;    // whole, with nothing after its end, and the backend keeps the connection
-  double keep_alive_s = 0;  // for which the backend keeps an idle connection; 0: not told
+  bool reusable = false;    // complete, without bytes after its end, and the backend keeps the connection
+  double keep_alive_s = 0;  // how long the backend keeps an idle connection; 0: unknown
   AnswerContent content;
 };
 
-// Which backends there are, and how many further tries there may be. Called within an event; must not call
-// back.
+// Chooses backends and limits retries. Called while an event is handled; must not call the Lifecycle.
 class BackendPolicy {
  public:
   virtual ~BackendPolicy() = default;
-  // A backend for the service that is not among `tried`; empty where there is none.
+  // Returns a backend for the service that is not in `tried`; empty if there is none.
   virtual std::string Choose(double now, const std::string& service, const std::set<std::string>& tried) = 0;
   virtual void OnAttemptStarted(const std::string& backend) = 0;
   virtual void OnAttemptEnded(double now, const std::string& backend,
                               load_balancing::AttemptResult result) = 0;
-  // Whether the budget allows one more arrival at the service beyond the first of a request.
+  // Whether the budget allows a retry at the service.
   virtual bool MayRetry(double now, const std::string& service) = 0;
   virtual void OnRetry(double now, const std::string& service) = 0;
-  // Whether nothing will be sent to it any more, so that its idle connections may be closed.
+  // Whether the backend receives no more requests, so that its idle connections may be closed.
   virtual bool IsDrained(const std::string& backend) = 0;
 };
 
 // --- Events ---
 
-// A request has been admitted, and may be sent.
+// A request has been admitted and may be sent.
 struct RequestAdmitted {
   RequestId request;
-  std::string attempt_id;  // what the answer must carry back
+  std::string attempt_id;  // that the answer must contain
   std::string service;
   bool idempotent = false;
-  int max_attempts = 1;  // backends that it may arrive at
+  int max_attempts = 1;  // number of backends that it may arrive at
   double deadline = 0;
 };
-// A request ends without being sent. `status` may be a promise that it has not run.
+// A request ends without being sent. `status` may promise that it has not run.
 struct RequestRejected {
   RequestId request;
   int status = 0;
-  double retry_after_s = 0;  // 0: not told
+  double retry_after_s = 0;  // 0: none
   const char* reason = "";
 };
 struct ClientClosed {
@@ -79,17 +78,18 @@
 };
 struct ClientDrained {
   ClientId client;
-};  // what was sent to it of a streamed answer is out
+};  // all buffered bytes of a streamed answer have been sent to it
 
 struct ConnectionOpened {
   ConnectionId connection;
 };
-// It ended, or what came on it is no answer. `bytes_written`: the system took a byte of the current request.
+// The connection was closed, or received an invalid answer. `bytes_written`: the system accepted a byte of
+// the current request.
 struct ConnectionLost {
   ConnectionId connection;
   bool bytes_written = true;
 };
-// Before a byte of the current request was written, it was found ended or with unasked bytes on it.
+// The connection was found closed, or with unexpected bytes, before any of the current request was written.
 struct ConnectionStale {
   ConnectionId connection;
 };
@@ -117,17 +117,16 @@
   ConnectionId connection;
   AttemptId attempt;
 };
-struct IdleSweep {
-};  // idle connections that have rested too long, or whose backend is unwanted, are to be closed
+struct IdleSweep {};  // close connections that were idle for too long or whose backend is drained
 
-// --- Effects, in the order in which they are to be carried out ---
+// --- Effects, to be carried out in order ---
 
 struct OpenConnection {
   ConnectionId connection;
   AttemptId attempt;
   RequestId request;
   std::string backend;
-};  // and time its opening
+};  // and start its connect timer
 struct SendRequest {
   ConnectionId connection;
   RequestId request;
@@ -143,7 +142,7 @@
   RequestId request;
   double at = 0;
 };
-// An answer of the proxy's own to a request that has provably not run.
+// The proxy's own answer to a request that has provably not run.
 struct ReplyNotRun {
   ClientId client;
   RequestId request;
@@ -152,7 +151,7 @@
   double retry_after_s;
   const char* reason;
 };
-// An answer of the proxy's own that promises nothing: 502 or 504.
+// The proxy's own answer to a request that may have run: 502 or 504.
 struct ReplyUnknown {
   ClientId client;
   RequestId request;
@@ -181,10 +180,10 @@
 struct AbortReply {
   ClientId client;
   RequestId request;
-};  // a started answer can't be finished
+};  // a streamed answer cannot be completed
 struct ReleaseRequest {
   RequestId request;
-};  // the last effect that names it
+};  // the last effect for this request
 
 using Effect = std::variant<OpenConnection, SendRequest, CloseConnection, ReadAnswerPart, ArmDeadline,
                             ReplyNotRun, ReplyUnknown, ForwardAnswer, ForwardStart, ForwardPart, ForwardEnd,
@@ -194,12 +193,12 @@
 struct Counters {
   uint64_t retries = 0, not_sent = 0, rejected_by_backend = 0, unknown_outcomes = 0, untrusted_answers = 0,
            connections = 0, deadline_exceeded = 0;
-  uint64_t stale_events = 0;  // dropped: their identity had ended
+  uint64_t stale_events = 0;  // ignored: their object no longer existed
 };
 
 struct LifecycleLimits {
-  int max_unsent_attempts =
-      4;  // attempts of one request that may end before anything is written, and be followed by another
+  // Most attempts of one request that end before anything is written and are followed by another one.
+  int max_unsent_attempts = 4;
 };
 
 class Lifecycle {
@@ -213,26 +212,26 @@
     bool idempotent = false;
     int max_attempts = 1;
     double deadline = 0;
-    ExecutionRecord record;         // of the attempts that have ended
-    int arrived = 0, not_sent = 0;  // attempts that have ended, by whether they may have arrived
+    ExecutionRecord record;         // of ended attempts
+    int arrived = 0, not_sent = 0;  // ended attempts, by MayHaveArrived
     std::set<std::string> tried;
-    AttemptId attempt;  // the one that is out, with its backend and connection
+    AttemptId attempt;  // the current one, with its backend and connection
     std::string backend;
     ConnectionId connection;
   };
   struct Connection {
     std::string backend;
-    RequestId request;  // not valid: idle
+    RequestId request;  // invalid: idle
     AttemptId attempt;
     bool open = false;
-    uint32_t written = 0;   // requests, in all
-    double keep_until = 0;  // while idle
+    uint32_t written = 0;   // number of requests
+    double idle_until = 0;  // while idle
   };
 
-  // `policy` outlives this.
+  // `policy` must outlive this object.
   explicit Lifecycle(BackendPolicy* policy, LifecycleLimits limits = {}) : policy_(policy), limits_(limits) {}
 
-  // A request has begun to arrive. The client has no other one that is unanswered.
+  // Starts a request that has begun to arrive. REQUIRES: the client has no other unanswered request.
   RequestId StartRequest(ClientId client);
 
   void On(double now, RequestAdmitted&& event, Effects* effects);
@@ -250,21 +249,22 @@
   void On(double now, const ConnectTimedOut& event, Effects* effects);
   void On(double now, const IdleSweep& event, Effects* effects);
 
-  // The unanswered request of a client; not valid: none.
+  // Returns the unanswered request of a client; invalid if there is none.
   RequestId RequestOf(ClientId client) const;
   const std::unordered_map<RequestId, Request, IdentityHash>& requests() const { return requests_; }
   const std::unordered_map<ConnectionId, Connection, IdentityHash>& connections() const {
     return connections_;
   }
-  // Idle connections by backend, the one that was used last at the end.
+  // Idle connections by backend, the most recently used one last.
   const std::map<std::string, std::vector<ConnectionId>>& idle() const { return idle_; }
   const Counters& counters() const { return counters_; }
 
  private:
   Request* Find(RequestId id);
   Connection* Find(ConnectionId id);
-  // The connection with the request that waits on it. An event for one that has ended, or that is idle, is
-  // counted and has no exchange; an idle one is closed, as what came on it is nobody's.
+  // A connection and the request sent on it. FindExchange returns none for a connection that no longer exists
+  // or is idle, and counts the event as stale. It closes an idle connection, because no request expects what
+  // was received.
   struct Exchange {
     Connection* connection = nullptr;
     Request* request = nullptr;
@@ -275,23 +275,23 @@
   void StartAttempt(double now, RequestId id, Request* request, Effects* effects);
   ConnectionId TakeIdle(double now, const std::string& backend, Effects* effects);
   void Send(ConnectionId id, Connection* connection, Request* request, Effects* effects);
-  // The attempt that is out has ended without an answer that goes to the client: again, or the proxy's own
-  // answer.
+  // Ends the current attempt, which has no answer to pass to the client: starts another one or sends the
+  // proxy's own answer.
   void EndAttempt(double now, RequestId id, Request* request, Evidence evidence,
                   load_balancing::AttemptResult result, Effects* effects);
-  bool MayTryAgain(double now, const Request& request, Evidence evidence);
-  bool Repeatable(const Request& request) const;
+  bool MayRetry(double now, const Request& request, Evidence evidence);
+  bool IsRetrySafe(const Request& request) const;
   void Expire(double now, RequestId id, Request* request, Effects* effects);
-  void ReplyOwn(RequestId id, Request* request, int unknown_status, double retry_after_s,
-                const char* not_run_reason, const char* unknown_reason, Effects* effects);
+  void SendOwnReply(RequestId id, Request* request, int unknown_status, double retry_after_s,
+                    const char* not_run_reason, const char* unknown_reason, Effects* effects);
   void Release(RequestId id, Effects* effects);
-  void Keep(double now, ConnectionId id, Connection* connection, double keep_alive_s);
+  void KeepIdle(double now, ConnectionId id, Connection* connection, double keep_alive_s);
   void Close(ConnectionId id, Effects* effects);
 
   BackendPolicy* policy_;
   LifecycleLimits limits_;
   std::unordered_map<RequestId, Request, IdentityHash> requests_;
-  std::unordered_map<ClientId, RequestId, IdentityHash> of_client_;
+  std::unordered_map<ClientId, RequestId, IdentityHash> request_of_client_;
   std::unordered_map<ConnectionId, Connection, IdentityHash> connections_;
   std::map<std::string, std::vector<ConnectionId>> idle_;
   Counters counters_;
--- a/system/decisions/routing/routes.h
+++ b/system/decisions/routing/routes.h
@@ -1,5 +1,5 @@
-// Routing. Which route a request is on, which tenant it is of, which service it goes to. Folded from the
-// configuration's items. Pure; one thread.
+// Routing: the route and service of a request and the tenant of an API key, derived from the configuration's
+// items. Pure; one thread.
 #ifndef IVYGW_SYSTEM_ROUTING_ROUTES_H_
 #define IVYGW_SYSTEM_ROUTING_ROUTES_H_
 
@@ -19,26 +19,27 @@
   using Route = std::shared_ptr<const config_model::Route>;
   using Tenant = std::shared_ptr<const config_model::Tenant>;
 
-  // An item that can't be read is told as a fault and changes nothing.
-  config_model::Fault Fold(const messages::Item& item);
+  // Returns a fault and changes nothing if the item is invalid.
+  config_model::Fault ApplyItem(const messages::Item& item);
 
-  // Of the routes of that host, the one whose prefix begins the path and is longest. `host` may have a port.
+  // Returns the route of that host with the longest prefix of the path. `host` may have a port.
   Route Find(std::string_view host, std::string_view path) const;
-  Tenant Owner(const std::string& key) const;
-  bool any() const { return !routes_.empty(); }
+  Tenant FindTenant(const std::string& key) const;
+  bool has_routes() const { return !routes_.empty(); }
   bool has_tenants() const { return tenants_seen_; }
   const config_model::Limits& limits() const { return limits_; }
 
-  // A service of the route by weight; the same for the same request's id on every gateway.
-  static const std::string& Pick(const config_model::Route& route, const std::string& id);
+  // Picks a service of the route by weight. Every gateway picks the same one for the same request id.
+  static const std::string& PickService(const config_model::Route& route, const std::string& id);
 
  private:
-  void Unlink(const std::string& name);
+  void RemoveRoute(const std::string& name);
   std::map<std::string, Route> routes_;
-  // By host, then by prefix, then by name where two are at one place.
-  std::unordered_map<std::string, std::map<std::string, std::map<std::string, Route>>> hosts_;
+  // By host, then by prefix, then by name, as routes may share a host and prefix.
+  std::unordered_map<std::string, std::map<std::string, std::map<std::string, Route>>> routes_by_host_;
   std::map<std::string, Tenant> tenants_;
-  std::unordered_map<std::string, std::map<std::string, Tenant>> keys_;  // holders of each key by name
+  std::unordered_map<std::string, std::map<std::string, Tenant>>
+      tenants_by_key_;  // by API key, then by tenant name
   config_model::Limits limits_;
   bool tenants_seen_ = false;
 };
--- a/system/programs/proxy/exchanges.cpp
+++ b/system/programs/proxy/exchanges.cpp
@@ -141,7 +141,7 @@
   if (!request.route) return Reject(id, 404, 0, "no route");
   if (routes_->has_tenants() && !request.route->open) {
     auto key = head.find("Credential");
-    if (key != head.end()) request.tenant = routes_->Owner(std::string(View(key->value())));
+    if (key != head.end()) request.tenant = routes_->FindTenant(std::string(View(key->value())));
     if (!request.tenant) return Reject(id, 401, 0, "no key");
   }
   double allowed = request.route->timeout_ms / 1000.0;
@@ -202,7 +202,7 @@
   lifecycle::RequestAdmitted event;
   event.request = id;
   event.attempt_id = View(request.message.head["Attempt-Id"]);
-  event.service = routing::Routes::Pick(*request.route, event.attempt_id);
+  event.service = routing::Routes::PickService(*request.route, event.attempt_id);
   event.idempotent = request.route->idempotent;
   event.max_attempts = request.route->max_attempts;
   event.deadline = request.deadline;
--- a/system/programs/proxy/gateway.cpp
+++ b/system/programs/proxy/gateway.cpp
@@ -42,7 +42,7 @@
       timer_(io) {
   journal_.Attach([this](const ItemChange& event) {
     if (event.table != Table::kConfiguration) return;
-    if (config_model::Fault fault = routes_.Fold(event.item); !fault.empty()) {
+    if (config_model::Fault fault = routes_.ApplyItem(event.item); !fault.empty()) {
       Log("item_unreadable").Add("key", event.item.key).Add("fault", fault);
     }
   });
@@ -82,7 +82,7 @@
     OnUpdate();
   };
   events.state = [this](Table table, const std::string&, const messages::CoreStatus& state) {
-    (table == Table::kBackends ? backends_ : configuration_).OnState(Now(), state);
+    (table == Table::kBackends ? backends_ : configuration_).OnStatus(Now(), state);
     if (table == Table::kBackends) {
       admission_.SetGatewayCount(std::max<size_t>(1, state.gateway_count));
       budget_.SetGatewayCount(std::max<size_t>(1, state.gateway_count));
@@ -114,7 +114,7 @@
 
 void Gateway::OnUpdate() {
   journal_.Run();
-  if (open_ || !configuration_.complete() || !backends_.complete() || !routes_.any()) return;
+  if (open_ || !configuration_.complete() || !backends_.complete() || !routes_.has_routes()) return;
   open_ = true;
   exchanges_.Open(true);
   Log("ready").Add("epoch", configuration_.epoch());
--- a/system/programs/registry/quota_leases.h
+++ b/system/programs/registry/quota_leases.h
@@ -35,7 +35,7 @@
 
  private:
   bool MayAllocate(TimePoint now) const {
-    return right_.May(now) && node_.HasQuorumContact() && !AwaitsMembers(now);
+    return right_.MayAllocate(now) && node_.HasQuorumContact() && !AwaitsMembers(now);
   }
   // At the first start of the whole system spare cores become members first, so that each allocates its part
   // from the beginning.
--- a/tests/system/core_node_test.cpp
+++ b/tests/system/core_node_test.cpp
@@ -190,7 +190,7 @@
         journal.Run();
       };
       events.state = [this](Table table, const std::string&, const messages::CoreStatus& state) {
-        CopyOf(table).OnState(Now(), state);
+        CopyOf(table).OnStatus(Now(), state);
         ends += state.list_revision > 0;
         journal.Run();
       };
--- a/tests/system/decisions/drain/drain_manager_test.cpp
+++ b/tests/system/decisions/drain/drain_manager_test.cpp
@@ -1,7 +1,7 @@
-// The phases of a drain, for every grace, moment and state of requests and connections.
+// Checks the phases of a drain for several grace periods at every time and state of requests and connections.
 #include "drain/drain_manager.h"
 
-#include <CppUTest/TestHarness.h>  // after all others: it names new anew
+#include <CppUTest/TestHarness.h>  // last, because it redefines operator new
 
 using namespace ivygw::drain;
 
@@ -23,11 +23,11 @@
 TEST(DrainManagerTest, PhasesFollowEachOtherAndTheEndIsWithinTheGrace) {
   for (double grace : kGraces) {
     DrainManager manager = BegunAtZero(grace);
-    for (bool held : {false, true}) {
+    for (bool active : {false, true}) {
       for (bool open : {false, true}) {
         DrainPhase last = DrainPhase::kAnnounced;
         for (double now = 0; now < grace; now += kStep) {
-          DrainPhase phase = manager.PhaseAt(now, held, open);
+          DrainPhase phase = manager.PhaseAt(now, active, open);
           CHECK(phase >= last);
           last = phase;
         }
@@ -37,8 +37,9 @@
   }
 }
 
-// Requests that are served end before the process does, whatever comes, and none is served once it is over.
-TEST(DrainManagerTest, WhatIsServedEndsBeforeTheProcess) {
+// Every request that is served ends before the process does, and none is served after the refusal phase
+// begins.
+TEST(DrainManagerTest, ServedRequestsEndBeforeTheProcess) {
   for (double grace : kGraces) {
     DrainManager manager = BegunAtZero(grace);
     for (double now = 0; now < grace; now += kStep) {
@@ -51,9 +52,9 @@
   }
 }
 
-// A process that nobody needs any more doesn't wait; one with open connections and no request does until new
-// requests are refused.
-TEST(DrainManagerTest, ItEndsAsSoonAsNothingIsLeft) {
+// Without requests and connections the process does not wait. With open connections but no request it waits
+// until new requests are refused.
+TEST(DrainManagerTest, EndsAsSoonAsNothingIsActive) {
   DrainManager manager = BegunAtZero(6);
   CHECK(manager.PhaseAt(2.4, false, false) == DrainPhase::kAnnounced);
   CHECK(manager.PhaseAt(2.6, false, false) == DrainPhase::kEnded);
@@ -62,7 +63,7 @@
   CHECK(manager.PhaseAt(3.1, true, false) == DrainPhase::kRefusing);
 }
 
-TEST(DrainManagerTest, ASecondSignalDoesNotBeginItAnew) {
+TEST(DrainManagerTest, ASecondSignalDoesNotRestartTheDrain) {
   DrainManager manager(DrainSchedule::ForGrace(6));
   CHECK(manager.PhaseAt(100, false, false) == DrainPhase::kServing);
   CHECK(manager.MayServe(100, 200));
--- a/tests/system/decisions_test.cpp
+++ b/tests/system/decisions_test.cpp
@@ -1,5 +1,5 @@
-// Decisions of the system without I/O: configurations, routes, the budget of further tries, choice of
-// backends, the roll of backends, and the codec under bad input.
+// Tests of modules without I/O: configuration, routing, retry budget, load balancing, backend registry, and
+// the codec with invalid input.
 #include <algorithm>
 #include <map>
 #include <memory>
@@ -20,7 +20,7 @@
 #include "replicated_table/known_cores.h"
 #include "routing/routes.h"
 
-#include <CppUTest/TestHarness.h>  // after all others: it names new anew
+#include <CppUTest/TestHarness.h>  // last, because it redefines operator new
 
 using namespace ivygw;
 using config_model::Change;
@@ -49,8 +49,8 @@
   config_model::Fault fault = config_model::ReadChange(json, &change);
   return fault.empty() ? config_model::CheckChange(change, config_model::Index()) : fault;
 }
-void Has(const std::string& text, const std::string& part) {
-  if (text.find(part) == std::string::npos) FAIL(("'" + text + "' does not tell of '" + part + "'").c_str());
+void CheckContains(const std::string& text, const std::string& part) {
+  if (text.find(part) == std::string::npos) FAIL(("'" + text + "' does not contain '" + part + "'").c_str());
 }
 messages::Item Backend(const std::string& id, const std::string& service, const std::string& zone,
                        uint64_t version = 1, bool draining = false) {
@@ -67,7 +67,7 @@
 
 TEST_GROUP(Configuration){};
 
-TEST(Configuration, AGoodCallIsReadWhole) {
+TEST(Configuration, AValidCallIsParsedCompletely) {
   Change change;
   STRCMP_EQUAL(
       "", config_model::ReadChange(
@@ -82,9 +82,9 @@
   STRCMP_EQUAL("", config_model::CheckChange(change, config_model::Index()).c_str());
 }
 
-TEST(Configuration, EachBadCallIsNamedByItsField) {
+TEST(Configuration, FaultsNameTheInvalidField) {
   struct Case {
-    std::string json, named;
+    std::string json, field;
   };
   std::string good = Call(Route("r1"));
   for (
@@ -112,26 +112,26 @@
        Case{Call(Route("r1", "", "s1", "0000000g")), "config_version"},
        Case{Call(Route("r1"), Tenant("t1", "k") + "," + Tenant("t2", "k")), "api_keys"},
        Case{R"({"upsert_items":{"routes":[]}})", "routes"}}) {
-    Has(FaultOf(c.json), c.named);
+    CheckContains(FaultOf(c.json), c.field);
   }
 }
 
-TEST(Configuration, AKeyOfAnotherTenantThatStandsIsRefusedAndItsMoveIsNot) {
+TEST(Configuration, AnApiKeyOfAnotherTenantIsRejectedUnlessMovedInTheSameCall) {
   Change first;
   config_model::ReadChange(Call("", Tenant("t1", "k1")), &first);
-  config_model::Index standing;
-  for (const auto& item : first.items) standing.Fold(item);
+  config_model::Index committed;
+  for (const auto& item : first.items) committed.ApplyItem(item);
   Change second;
   config_model::ReadChange(Call("", Tenant("t2", "k1")), &second);
-  Has(config_model::CheckChange(second, standing), "share a key");
-  // Moved in one call: taken from the one, given to the other.
+  CheckContains(config_model::CheckChange(second, committed), "share a key");
+  // Moved in one call: removed from one tenant and added to the other.
   Change moved;
   std::string empty = R"({"name":"t1","api_keys":["k9"],"config_version":"00000009"})";
   config_model::ReadChange(Call("", empty + "," + Tenant("t2", "k1")), &moved);
-  STRCMP_EQUAL("", config_model::CheckChange(moved, standing).c_str());
+  STRCMP_EQUAL("", config_model::CheckChange(moved, committed).c_str());
 }
 
-TEST(Configuration, WhatIsShownCanBeSetAgain) {
+TEST(Configuration, TheShownConfigurationCanBeSetAgain) {
   Change change, again;
   config_model::ReadChange(Call(Route("r1") + "," + Route("r2"), Tenant("t1", "k1")), &change);
   std::string all = config_model::WriteAll(change.items);
@@ -139,7 +139,7 @@
   CHECK(change.items.size() == again.items.size());
 }
 
-TEST(Configuration, ANameThatIsSetAndDroppedInOneCallGoesByItsHighestVersion) {
+TEST(Configuration, OfANameSetAndRemovedInOneCallTheHighestVersionWins) {
   Change change;
   config_model::ReadChange(Call(Route("r1"), "", R"({"name":"r1","config_version":"00000009"})"), &change);
   for (const auto& item : change.items) {
@@ -155,7 +155,7 @@
                  uint64_t version, bool dropped = false) {
     std::string body = R"({"name":")" + name + R"(","host_name":")" + host + R"(","path_prefix":")" + prefix +
                        R"(","route_type":"idempotent","timeout_ms":9,"target_service":"s"})";
-    STRCMP_EQUAL("", routes.Fold({"route_table/" + name, version, dropped, body}).c_str());
+    STRCMP_EQUAL("", routes.ApplyItem({"route_table/" + name, version, dropped, body}).c_str());
   };
   put("a", "H.example", "/", 1);
   put("b", "h.example", "/x/", 1);
@@ -170,57 +170,57 @@
   STRCMP_EQUAL("none", name("other", "/x/").c_str());
   put("c", "h.example", "/x/y/", 2, true);
   STRCMP_EQUAL("b", name("h.example", "/x/y/z").c_str());
-  put("b", "h.example", "/q/", 2);  // moved: its old place is free
+  put("b", "h.example", "/q/", 2);  // moved to another prefix
   STRCMP_EQUAL("a", name("h.example", "/x/y/z").c_str());
 }
 
 TEST(Routing, KeysFollowTheirTenant) {
   routing::Routes routes;
   auto put = [&](const std::string& name, const std::string& keys, uint64_t version, bool dropped = false) {
-    routes.Fold({"tenant_table/" + name, version, dropped,
-                 R"({"name":")" + name + R"(","api_keys":[)" + keys + "]}"});
+    routes.ApplyItem({"tenant_table/" + name, version, dropped,
+                      R"({"name":")" + name + R"(","api_keys":[)" + keys + "]}"});
   };
   put("t1", R"("k1","k2")", 1);
-  STRCMP_EQUAL("t1", routes.Owner("k2")->name.c_str());
-  put("t2", R"("k2")", 2);  // told before t1 has let go of it
+  STRCMP_EQUAL("t1", routes.FindTenant("k2")->name.c_str());
+  put("t2", R"("k2")", 2);  // arrives before the update that removes the key from t1
   put("t1", R"("k1")", 2);
-  STRCMP_EQUAL("t2", routes.Owner("k2")->name.c_str());
+  STRCMP_EQUAL("t2", routes.FindTenant("k2")->name.c_str());
   put("t2", "", 3, true);
-  CHECK(!routes.Owner("k2"));
+  CHECK(!routes.FindTenant("k2"));
   CHECK(routes.has_tenants());
 }
 
-TEST(Routing, SplitsGoByWeight) {
+TEST(Routing, TrafficSplitsFollowTheWeights) {
   config_model::Route route;
   route.targets = {{"a", 90}, {"b", 10}, {"none", 0}};
   int b = 0;
   for (int i = 0; i < 1000; ++i) {
     std::string id = "id" + std::to_string(i);
-    const std::string& to = routing::Routes::Pick(route, id);
+    const std::string& to = routing::Routes::PickService(route, id);
     CHECK(to != "none");
-    CHECK(to == routing::Routes::Pick(route, id));
+    CHECK(to == routing::Routes::PickService(route, id));
     b += to == "b";
   }
   CHECK(b > 70 && b < 130);
 }
 
-TEST_GROUP(Budgets){};
+TEST_GROUP(RetryBudgets){};
 
-TEST(Budgets, TheBudgetOfAllGatewaysHolds) {
-  // Eleven gateways, each for itself, of a service that fails all the time.
+TEST(RetryBudgets, HoldOverAllGateways) {
+  // Eleven independent gateways in front of a service that always fails.
   std::vector<load_balancing::RetryBudget> budgets(11, load_balancing::RetryBudget(0.2, 10, 62));
-  std::deque<double> requests, again;
+  std::deque<double> requests, retries;
   std::mt19937 dice(5);
   for (auto& budget : budgets) budget.SetGatewayCount(11);
   for (double now = 0; now < 60; now += 0.01) {
-    bool quiet = now > 20 && now < 32;  // then nothing for a while, and all at once
+    bool quiet = now > 20 && now < 32;  // no requests for a while, and then all gateways at once
     for (auto& budget : budgets) {
       if (quiet || dice() % 10 != 0) continue;
       budget.OnRequest(now, "s");
       requests.push_back(now);
       for (int i = 0; i < 3 && budget.MayRetry(now, "s"); ++i) {
         budget.OnRetry(now, "s");
-        again.push_back(now);
+        retries.push_back(now);
       }
     }
     auto in = [&](const std::deque<double>& list, double from, double to) {
@@ -230,13 +230,13 @@
     if (static_cast<int>(now * 100) % 50 != 0) continue;
     double most = std::max(
         {in(requests, now - 10, now), in(requests, now - 20, now - 10), in(requests, now - 15, now - 5)});
-    CHECK(in(again, now - 10, now) <= 0.2 * most + 62);
+    CHECK(in(retries, now - 10, now) <= 0.2 * most + 62);
   }
 }
 
-TEST_GROUP(Choice){};
+TEST_GROUP(LoadBalancing){};
 
-TEST(Choice, OwnSlotsOfTheZoneComeFirstAndAllGatewaysOwnAll) {
+TEST(LoadBalancing, PrefersOwnSlotsAndAllSlotsAreOwned) {
   std::vector<messages::GatewayInfo> members = {{"g1", "z1"}, {"g2", "z1"}, {"g3", "z2"}};
   std::map<std::string, int> taken;
   for (const auto& member : members) {
@@ -253,14 +253,14 @@
   for (const char* id : {"a", "b", "c"}) CHECK_EQUAL(2, taken[id]);
 }
 
-TEST(Choice, WhoDrainsHasGoneOrFailsIsLeftOut) {
+TEST(LoadBalancing, SkipsDrainingGoneAndFailingBackends) {
   load_balancing::Pool pool(1, "z1");
   for (const char* id : {"a", "b", "c"}) pool.ApplyItem(0, Backend(id, "s", "z1"));
   pool.ApplyItem(0, Backend("a", "s", "z1", 2, true));
   pool.OnAttemptStarted("b");
   pool.OnAttemptEnded(0, "b", AttemptResult::kConnectionRefused);
   for (int i = 0; i < 20; ++i) STRCMP_EQUAL("c", pool.Choose(0.1, "s", {}).c_str());
-  STRCMP_EQUAL("b", pool.Choose(0.1, "s", {"c"}).c_str());  // better than nobody
+  STRCMP_EQUAL("b", pool.Choose(0.1, "s", {"c"}).c_str());  // better than none
   pool.OnAttemptStarted("c");
   pool.OnAttemptEnded(0.1, "c", AttemptResult::kMisdirected);
   STRCMP_EQUAL("b", pool.Choose(0.2, "s", {}).c_str());
@@ -269,9 +269,9 @@
   STRCMP_EQUAL("", pool.Choose(1, "unknown", {}).c_str());
 }
 
-TEST_GROUP(Roll){};
+TEST_GROUP(BackendRegistry){};
 
-TEST(Roll, ADrainWaitsForAMajorityAndIsNeverTakenBack) {
+TEST(BackendRegistry, ADrainWaitsForCommitAndIsNeverRevoked) {
   discovery::Backend b;
   b.id = "i1";
   b.service = "s";
@@ -280,18 +280,18 @@
   registry::BackendUpdate ready = registry::OnHeartbeat(b, nullptr);
   CHECK(ready.write && !ready.wait_for_commit);
   b.sequence = 5;
-  CHECK(!registry::OnHeartbeat(b, &ready.item).write);  // the same again
+  CHECK(!registry::OnHeartbeat(b, &ready.item).write);  // unchanged
   b.draining = true;
   b.sequence = 6;
   registry::BackendUpdate drain = registry::OnHeartbeat(b, &ready.item);
   CHECK(drain.write && drain.wait_for_commit);
   CHECK(messages::Newer(drain.item, ready.item));
-  // Said again where the drain was only proposed: still not acknowledged without a majority.
+  // Repeated while the drain is only proposed: still not acknowledged before the commit.
   b.sequence = 7;
   CHECK(registry::OnHeartbeat(b, &ready.item).write && registry::OnHeartbeat(b, &ready.item).wait_for_commit);
   CHECK(!registry::OnHeartbeat(b, &drain.item).write);
   b.draining = false;
-  b.sequence = 9;  // late in the network, or confused
+  b.sequence = 9;  // delayed in the network, or faulty
   CHECK(registry::OnHeartbeat(b, &drain.item).item == drain.item);
   CHECK(!registry::OnHeartbeat(b, &drain.item).write);
   registry::BackendUpdate gone = registry::OnDeregister("i1", 0, &drain.item);
@@ -299,7 +299,7 @@
   CHECK(registry::OnHeartbeat(b, &gone.item).item.dropped);
 }
 
-TEST(Roll, AnOrderThatRacedWithADrainOrAnEndDoesNotTakeItBack) {
+TEST(BackendRegistry, AConcurrentCommandDoesNotRevokeADrainOrADeregistration) {
   registry::RegistryPolicy policy;
   replication::Table table;
   auto changes = [&](const messages::Item& item) {
@@ -317,26 +317,26 @@
   CHECK(changes({"holder/c1/g1", 1, false, ""}));
 }
 
-TEST(Roll, WhoIsSilentForLongIsDroppedOnlyWhileEveryCoreTellsAndMayComeBack) {
-  registry::HeartbeatTracker heard;
+TEST(BackendRegistry, SilentBackendsExpireOnlyWhileAllCoresReportAndMayReturn) {
+  registry::HeartbeatTracker tracker;
   std::set<std::string> others = {"c2", "c3"};
-  heard.OnHeartbeat(TimePointOf(0), "here");
-  bool cut = false;
+  tracker.OnHeartbeat(TimePointOf(0), "here");
+  bool c3_unreachable = false;
   std::vector<std::string> silent;
   auto until = [&](double from, double to) {
     for (double now = from; now < to; now += 0.5) {
-      heard.OnReport(TimePointOf(now), "c2", {"there"});
-      if (!cut) heard.OnReport(TimePointOf(now), "c3", {});
-      for (const std::string& id : heard.Expired(TimePointOf(now), {"here", "there", "disk"}, others))
+      tracker.OnReport(TimePointOf(now), "c2", {"there"});
+      if (!c3_unreachable) tracker.OnReport(TimePointOf(now), "c3", {});
+      for (const std::string& id : tracker.Expired(TimePointOf(now), {"here", "there", "disk"}, others))
         silent.push_back(id);
     }
   };
   until(0, 25);
   CHECK(silent.empty());
-  cut = true;  // c3 can't be heard: whoever beats there is not silent
+  c3_unreachable = true;  // c3 is unreachable and may receive heartbeats of any backend
   until(25, 80);
   CHECK(silent.empty());
-  cut = false;
+  c3_unreachable = false;
   until(80, 109);
   CHECK(silent.empty());
   until(109, 111);
@@ -350,28 +350,31 @@
   discovery::ParseBackend(item.body, &b);
   b.id = "i";
   b.sequence = 8;
-  CHECK(!registry::OnHeartbeat(b, &gone).write);  // as late as the word that dropped it
+  CHECK(!registry::OnHeartbeat(b, &gone).write);  // same version as the tombstone
   b.sequence = 20;
   registry::BackendUpdate back = registry::OnHeartbeat(b, &gone);
   CHECK(back.write && messages::Newer(back.item, gone) && !back.item.dropped);
 }
 
-TEST(Roll, ABadBeatIsNamedByItsField) {
+TEST(BackendRegistry, FaultsOfHeartbeatsNameTheInvalidField) {
   discovery::Backend b;
-  Has(discovery::ParseHeartbeat("{", &b), "JSON");
-  Has(discovery::ParseHeartbeat(
+  CheckContains(discovery::ParseHeartbeat("{", &b), "JSON");
+  CheckContains(
+      discovery::ParseHeartbeat(
           R"({"target_service":"s","address":"nowhere","oper_state":"ready","call_sequence":1})", &b),
       "address");
-  Has(discovery::ParseHeartbeat(
+  CheckContains(
+      discovery::ParseHeartbeat(
           R"({"target_service":"s","address":"1.2.3.4:5","oper_state":"odd","call_sequence":1})", &b),
       "oper_state");
-  Has(discovery::ParseHeartbeat(R"({"target_service":"s","address":"1.2.3.4:5","oper_state":"ready"})", &b),
+  CheckContains(
+      discovery::ParseHeartbeat(R"({"target_service":"s","address":"1.2.3.4:5","oper_state":"ready"})", &b),
       "call_sequence");
 }
 
-TEST_GROUP(Orders){};
+TEST_GROUP(ConfigurationCommands){};
 
-TEST(Orders, OneOrderOverAnyContents) {
+TEST(ConfigurationCommands, VersionsAreTotallyOrdered) {
   using messages::Newer;
   messages::Item a{"k", 3, false, "x"}, b{"k", 3, false, "y"}, c{"k", 3, true, ""}, d{"k", 4, false, "x"};
   for (const auto& one : {a, b, c}) {
@@ -383,7 +386,7 @@
   CHECK(Newer(a, c) != Newer(c, a));
 }
 
-TEST(Orders, OneNumberIsConfirmedToOneContentAndARepeatStands) {
+TEST(ConfigurationCommands, AVersionIsConfirmedWithOneContentAndARepeatIsAccepted) {
   using Kind = replication::Evaluation::Kind;
   config_store::ConfigurationPolicy policy;
   replication::Table table;
@@ -405,18 +408,18 @@
   replication::Evaluation other = evaluate(Call(Route("r1", R"(,"priority":3)") + "," + Route("r2")));
   CHECK(other.kind == Kind::kRejected);
   CHECK(other.rejection.code == replication::RejectionCode::kConflict);
-  Has(other.rejection.field, "route_table/r1");
+  CheckContains(other.rejection.field, "route_table/r1");
   CHECK(other.records.empty());
   apply(evaluate(Call(Route("r1", R"(,"priority":4)", "s1", "00000009"))));
   CHECK(evaluate(Call(Route("r1"))).kind ==
-        Kind::kAlreadyApplied);  // the first order again, after a newer one
+        Kind::kAlreadyApplied);  // the first command repeated after a newer one
   replication::Evaluation invalid = evaluate(Call(Route("r3", "", "nowhere", "0000000a")));
   CHECK(invalid.kind == Kind::kRejected);
   CHECK(invalid.rejection.code == replication::RejectionCode::kInvalid);
-  Has(invalid.rejection.message, "r3");
+  CheckContains(invalid.rejection.message, "r3");
 }
 
-TEST(Orders, WhatIsForgottenDoesNotStandInTheCheck) {
+TEST(ConfigurationCommands, ErasedItemsAreNotPartOfTheValidation) {
   config_store::ConfigurationPolicy policy;
   replication::Table table;
   Change change;
@@ -433,7 +436,7 @@
   CHECK(kind() == replication::Evaluation::Kind::kApply);
 }
 
-TEST_GROUP(Members){};
+TEST_GROUP(AllocationRights){};
 
 namespace {
 
@@ -443,20 +446,21 @@
 
 }  // namespace
 
-TEST(Members, WhoTakesAnothersPlaceLendsOnlyOnceThatOnesLoansAreOver) {
+TEST(AllocationRights, AReplacementAllocatesOnlyAfterTheLeasesOfItsPredecessor) {
   using registry::AllocationRight;
   messages::Member a{"10.0.0.1", 1, ""}, b{"10.0.0.2", 1, ""}, c{"10.0.0.3", 1, ""}, d{"10.0.0.4", 7, ""},
-      c_anew{"10.0.0.3", 9, ""};
+      c_new_disk{"10.0.0.3", 9, ""};
   AllocationRight founder(TimePointOf(0), a.address, a.store_id, Epoch(1, {a, b, c}), 0);
-  CHECK(founder.May(TimePointOf(0)));
+  CHECK(founder.MayAllocate(TimePointOf(0)));
   AllocationRight successor(TimePointOf(0), d.address, d.store_id, Epoch(0, {}), 0);
   successor.OnMembership(TimePointOf(1), Epoch(1, {a, b, c}), 0, false);
-  CHECK(!successor.May(TimePointOf(100)));
+  CHECK(!successor.MayAllocate(TimePointOf(100)));
   founder.OnMembership(TimePointOf(100), Epoch(2, {a, b, d}), 1, false);
   successor.OnMembership(TimePointOf(100), Epoch(2, {a, b, d}), 0, false);
-  CHECK(founder.May(TimePointOf(100)));
-  CHECK(!successor.May(TimePointOf(100 + rate_limit::kLeaseTerm + replication::kContactTimeout.count())));
-  CHECK(successor.May(TimePointOf(100 + AllocationRight::kTakeoverDelay.count())));
+  CHECK(founder.MayAllocate(TimePointOf(100)));
+  CHECK(!successor.MayAllocate(
+      TimePointOf(100 + rate_limit::kLeaseTerm + replication::kContactTimeout.count())));
+  CHECK(successor.MayAllocate(TimePointOf(100 + AllocationRight::kTakeoverDelay.count())));
   // Holders of the one before retain something for longer; nobody retains anything of a founder's
   // predecessor.
   double retained = 100 + AllocationRight::kTakeoverDelay.count() + AllocationRight::kRetentionDelay.count();
@@ -467,81 +471,82 @@
   AllocationRight replaced(TimePointOf(0), c.address, c.store_id, Epoch(1, {a, b, c}), 1);
   AllocationRight absent(TimePointOf(0), c.address, c.store_id, Epoch(1, {a, b, c}), 1);
   replaced.OnMembership(TimePointOf(100), Epoch(2, {a, b, d}), 1, false);
-  CHECK(!replaced.May(TimePointOf(200)));
+  CHECK(!replaced.MayAllocate(TimePointOf(200)));
   replaced.OnMembership(TimePointOf(300), Epoch(3, {a, b, c}), 1, false);
-  CHECK(!replaced.May(TimePointOf(310)));
+  CHECK(!replaced.MayAllocate(TimePointOf(310)));
   absent.OnMembership(TimePointOf(300), Epoch(3, {a, b, c}), 1, false);
-  CHECK(!absent.May(TimePointOf(310)));
+  CHECK(!absent.MayAllocate(TimePointOf(310)));
   // Its disk is lost: it takes its own place at once.
-  AllocationRight wiped(TimePointOf(400), c_anew.address, c_anew.store_id, Epoch(0, {}), 0);
+  AllocationRight wiped(TimePointOf(400), c_new_disk.address, c_new_disk.store_id, Epoch(0, {}), 0);
   wiped.OnMembership(TimePointOf(401), Epoch(1, {a, b, c}), 1, false);
-  CHECK(!wiped.May(TimePointOf(500)));
-  wiped.OnMembership(TimePointOf(402), Epoch(2, {a, b, c_anew}), 1, false);
-  CHECK(wiped.May(TimePointOf(402)));
+  CHECK(!wiped.MayAllocate(TimePointOf(500)));
+  wiped.OnMembership(TimePointOf(402), Epoch(2, {a, b, c_new_disk}), 1, false);
+  CHECK(wiped.MayAllocate(TimePointOf(402)));
 }
 
 // Guards against: a core that is added while the system starts for the first time withholds its part of all
 // limits for a minute, or allocates beside what others were granted of it before.
-TEST(Members, AnAddedMemberAllocatesAtOnceOnlyWhereNothingIsGranted) {
+TEST(AllocationRights, AnAddedMemberAllocatesAtOnceOnlyWhereNothingIsGranted) {
   using registry::AllocationRight;
   messages::Member a{"10.0.0.1", 1, ""}, b{"10.0.0.2", 1, ""}, c{"10.0.0.3", 1, ""}, d{"10.0.0.4", 7, ""},
       e{"10.0.0.5", 8, ""};
   AllocationRight added(TimePointOf(0), d.address, d.store_id, Epoch(1, {a, b, c}), 0);
   added.OnMembership(TimePointOf(1), Epoch(2, {a, b, c, d}), 0, true);
-  CHECK(added.May(TimePointOf(1)));
+  CHECK(added.MayAllocate(TimePointOf(1)));
   CHECK(added.predecessor_retained_until() == TimePointOf(1));
   AllocationRight late(TimePointOf(0), d.address, d.store_id, Epoch(1, {a, b, c}), 0);
   late.OnMembership(TimePointOf(1), Epoch(2, {a, b, c, d}), 0, false);
-  CHECK(!late.May(TimePointOf(1)));
+  CHECK(!late.MayAllocate(TimePointOf(1)));
   // Two epochs at once, as a delta may tell of them; and no member in the end.
   AllocationRight skipped(TimePointOf(0), e.address, e.store_id, Epoch(1, {a, b, c}), 0);
   skipped.OnMembership(TimePointOf(1), Epoch(3, {a, b, c, d, e}), 0, true);
-  CHECK(skipped.May(TimePointOf(1)));
+  CHECK(skipped.MayAllocate(TimePointOf(1)));
   AllocationRight spare(TimePointOf(0), e.address, e.store_id, Epoch(1, {a, b, c}), 0);
   spare.OnMembership(TimePointOf(1), Epoch(2, {a, b, c, d}), 0, true);
-  CHECK(!spare.May(TimePointOf(100)));
+  CHECK(!spare.MayAllocate(TimePointOf(100)));
 }
 
-TEST(Members, ARestartInTheWaitBeginsItAnew) {
+TEST(AllocationRights, ARestartDuringTheWaitBeginsItAgain) {
   using registry::AllocationRight;
   messages::Member a{"10.0.0.1", 1, ""}, b{"10.0.0.2", 1, ""}, d{"10.0.0.4", 7, ""};
-  AllocationRight again(TimePointOf(100), d.address, d.store_id, Epoch(2, {a, b, d}), 0);
-  CHECK(!again.May(TimePointOf(110)));
-  CHECK(again.May(TimePointOf(100 + AllocationRight::kTakeoverDelay.count())));
-  AllocationRight noted(TimePointOf(100), d.address, d.store_id, Epoch(2, {a, b, d}), 2);
-  CHECK(noted.May(TimePointOf(100)));
+  AllocationRight restarted(TimePointOf(100), d.address, d.store_id, Epoch(2, {a, b, d}), 0);
+  CHECK(!restarted.MayAllocate(TimePointOf(110)));
+  CHECK(restarted.MayAllocate(TimePointOf(100 + AllocationRight::kTakeoverDelay.count())));
+  AllocationRight recorded(TimePointOf(100), d.address, d.store_id, Epoch(2, {a, b, d}), 2);
+  CHECK(recorded.MayAllocate(TimePointOf(100)));
 }
 
-// All cores lose power right after an epoch has begun, before any of them has recorded it.
-TEST(Members, AMemberThatStaysLendsAtOnceAfterARestartThatForgotToRecordTheEpoch) {
+// All cores lose power after an epoch has begun and before any of them has recorded it.
+TEST(AllocationRights, AContinuingMemberAllocatesAtOnceAfterARestartBeforeTheEpochWasRecorded) {
   using registry::AllocationRight;
   messages::Member a{"10.0.0.1", 1, ""}, b{"10.0.0.2", 1, ""}, c{"10.0.0.3", 1, ""},
-      c_anew{"10.0.0.3", 9, ""}, d{"10.0.0.4", 7, ""};
-  AllocationRight stayed(TimePointOf(100), a.address, a.store_id, Epoch(3, {a, b, c_anew}), 2);
-  CHECK(stayed.May(TimePointOf(100)));
-  AllocationRight back(TimePointOf(100), c_anew.address, c_anew.store_id, Epoch(3, {a, b, c_anew}), 2);
-  CHECK(back.May(TimePointOf(100)));
-  // Its disk had the record only as accepted, not applied; it comes with catching up.
-  AllocationRight behind(TimePointOf(100), a.address, a.store_id, Epoch(3, {a, b, c_anew}), 0);
-  CHECK(!behind.May(TimePointOf(101)));
-  behind.OnRecordedEpoch(TimePointOf(101), 3);
-  CHECK(behind.May(TimePointOf(101)));
-  // One that joined in it has recorded none, or an epoch before the one in which another had its place.
+      c_new_disk{"10.0.0.3", 9, ""}, d{"10.0.0.4", 7, ""};
+  AllocationRight stayed(TimePointOf(100), a.address, a.store_id, Epoch(3, {a, b, c_new_disk}), 2);
+  CHECK(stayed.MayAllocate(TimePointOf(100)));
+  AllocationRight returned(TimePointOf(100), c_new_disk.address, c_new_disk.store_id,
+                           Epoch(3, {a, b, c_new_disk}), 2);
+  CHECK(returned.MayAllocate(TimePointOf(100)));
+  // The record was only accepted, not applied, on its disk; it is applied during catch-up.
+  AllocationRight lagging(TimePointOf(100), a.address, a.store_id, Epoch(3, {a, b, c_new_disk}), 0);
+  CHECK(!lagging.MayAllocate(TimePointOf(101)));
+  lagging.OnRecordedEpoch(TimePointOf(101), 3);
+  CHECK(lagging.MayAllocate(TimePointOf(101)));
+  // A core that joined in this epoch has recorded none, or one before the epoch in which it was replaced.
   AllocationRight joined(TimePointOf(100), d.address, d.store_id, Epoch(3, {a, b, d}), 0);
-  CHECK(!joined.May(TimePointOf(110)));
+  CHECK(!joined.MayAllocate(TimePointOf(110)));
   AllocationRight rejoined(TimePointOf(100), c.address, c.store_id, Epoch(4, {a, b, c}), 2);
-  CHECK(!rejoined.May(TimePointOf(110)));
-  // Not yet a member, and never one.
+  CHECK(!rejoined.MayAllocate(TimePointOf(110)));
+  // A learner that was never a member.
   AllocationRight learner(TimePointOf(100), d.address, d.store_id, Epoch(0, {}), 0);
-  CHECK(!learner.May(TimePointOf(200)));
+  CHECK(!learner.MayAllocate(TimePointOf(200)));
 }
 
-// Whatever series of restarts, epochs and lost disks a member goes through, it may lend a takeover delay
-// after the last of them; and no series of restarts alone holds it back.
-TEST(Members, NoSeriesOfTroublesHoldsLendingBackForLonger) {
+// After any series of restarts, epochs and lost disks, a member may allocate a takeover delay after the last
+// event. Restarts alone never delay it.
+TEST(AllocationRights, NoSeriesOfFaultsDelaysAllocationLonger) {
   using registry::AllocationRight;
-  enum class Trouble { kRestart, kOtherReplaced, kOwnDiskLost, kRemoved, kJoined, kTwoEpochsMissed, kCount };
-  constexpr int kSeriesLength = 5, kKinds = static_cast<int>(Trouble::kCount);
+  enum class Event { kRestart, kOtherReplaced, kOwnDiskLost, kRemoved, kJoined, kTwoEpochsMissed, kCount };
+  constexpr int kSeriesLength = 5, kKinds = static_cast<int>(Event::kCount);
   const messages::Member b{"10.0.0.2", 1, ""}, c{"10.0.0.3", 1, ""}, spare{"10.0.0.4", 1, ""};
   int series_count = 1;
   for (int i = 0; i < kSeriesLength; ++i) series_count *= kKinds;
@@ -560,35 +565,35 @@
       };
       for (int i = 0, left = series; i < kSeriesLength; ++i, left /= kKinds) {
         now += gap;
-        // Recorded a little after it may.
-        if (gap > 1 && right->May(TimePointOf(now - 1))) recorded = right->epoch();
-        Trouble trouble = static_cast<Trouble>(left % kKinds);
+        // The epoch is recorded shortly after allocation is allowed.
+        if (gap > 1 && right->MayAllocate(TimePointOf(now - 1))) recorded = right->epoch();
+        Event event = static_cast<Event>(left % kKinds);
         bool member = membership.Contains(self.address, self.store_id);
-        only_restarts = only_restarts && trouble == Trouble::kRestart;
-        if (trouble == Trouble::kRestart || trouble == Trouble::kOwnDiskLost) {
-          if (trouble == Trouble::kOwnDiskLost) ++self.store_id;
+        only_restarts = only_restarts && event == Event::kRestart;
+        if (event == Event::kRestart || event == Event::kOwnDiskLost) {
+          if (event == Event::kOwnDiskLost) ++self.store_id;
           right = std::make_unique<AllocationRight>(TimePointOf(now), self.address, self.store_id, membership,
                                                     recorded);
-          if (trouble == Trouble::kOwnDiskLost && member) begin_epoch({self, b, c});
-        } else if (trouble == Trouble::kOtherReplaced && member) {
+          if (event == Event::kOwnDiskLost && member) begin_epoch({self, b, c});
+        } else if (event == Event::kOtherReplaced && member) {
           begin_epoch({self, b, c});
-        } else if (trouble == Trouble::kRemoved && member) {
+        } else if (event == Event::kRemoved && member) {
           begin_epoch({b, c, spare});
-        } else if (trouble == Trouble::kJoined && !member) {
+        } else if (event == Event::kJoined && !member) {
           begin_epoch({self, b, c});
-        } else if (trouble == Trouble::kTwoEpochsMissed && member) {
+        } else if (event == Event::kTwoEpochsMissed && member) {
           membership.epoch += 1;
           begin_epoch({self, b, c});
         }
       }
       bool member = membership.Contains(self.address, self.store_id);
-      CHECK_EQUAL(member, right->May(TimePointOf(now + AllocationRight::kTakeoverDelay.count())));
-      if (only_restarts) CHECK(right->May(TimePointOf(now)));
+      CHECK_EQUAL(member, right->MayAllocate(TimePointOf(now + AllocationRight::kTakeoverDelay.count())));
+      if (only_restarts) CHECK(right->MayAllocate(TimePointOf(now)));
     }
   }
 }
 
-TEST(Members, AddressesThatNobodyNamesAreDialledNoLonger) {
+TEST(AllocationRights, AddressesThatAreNoLongerKnownAreNotDialled) {
   replicated_table::KnownCores known("10.0.0.1", {"10.0.0.1", "10.0.0.2"});
   known.SetMembers(Epoch(1, {{"10.0.0.1", 1, ""}, {"10.0.0.3", 1, ""}}));
   known.OnSeen(TimePointOf(5), "10.0.0.4");
@@ -601,7 +606,7 @@
 
 TEST_GROUP(Plumbing){};
 
-TEST(Plumbing, MessagesSurviveAndGarbageDoesNotHurt) {
+TEST(Plumbing, MessagesSurviveEncodingAndInvalidBytesAreTolerated) {
   messages::Push push{7, true, 5, {{"k", 3, false, "body"}, {"q", 9, true, ""}}, {"e"}};
   std::string frame = messages::Encode(push);
   messages::FrameReader reader;
@@ -624,16 +629,16 @@
 
 namespace {
 
-// A gateway's copy, and what its views were told last of each key.
-struct Followed {
-  Followed() {
+// A gateway's table cache and the last item of each key that its views received.
+struct CachedTable {
+  CachedTable() {
     journal.Attach([this](const discovery::ItemChange& event) {
-      CHECK(event.item.version >= told[event.item.key].version);
-      told[event.item.key] = event.item;
+      CHECK(event.item.version >= received[event.item.key].version);
+      received[event.item.key] = event.item;
     });
   }
   void Push(uint64_t revision, std::vector<messages::Item> items, std::vector<std::string> ended = {}) {
-    copy.OnPush(1, {1, false, revision, std::move(items), std::move(ended)});
+    cache.OnPush(1, {1, false, revision, std::move(items), std::move(ended)});
     journal.Run();
   }
   void State(uint64_t epoch, bool complete, uint64_t list_revision, bool all_ranges) {
@@ -643,59 +648,59 @@
     state.list_revision = list_revision;
     for (uint32_t range = 0; all_ranges && range < messages::kListRanges; ++range)
       state.listed_ranges.push_back(range);
-    copy.OnState(1, state);
+    cache.OnStatus(1, state);
     journal.Run();
   }
   bool Empty() const {
-    return std::all_of(copy.digests().begin(), copy.digests().end(),
+    return std::all_of(cache.digests().begin(), cache.digests().end(),
                        [](uint64_t digest) { return digest == 0; });
   }
   discovery::Journal<discovery::ItemChange> journal;
-  discovery::TableCache copy{discovery::Table::kConfiguration, &journal};
-  std::map<std::string, messages::Item> told;
+  discovery::TableCache cache{discovery::Table::kConfiguration, &journal};
+  std::map<std::string, messages::Item> received;
 };
 
 }  // namespace
 
-TEST(Plumbing, ACopyNeverGoesBackWhoeverTells) {
-  Followed gateway;
+TEST(Plumbing, ACacheNeverReturnsToAnOlderVersion) {
+  CachedTable gateway;
   for (uint64_t version : {3, 5, 4, 5, 2, 9}) gateway.Push(version, {{"k", version, false, "x"}});
-  CHECK_EQUAL(9u, gateway.told["k"].version);
+  CHECK_EQUAL(9u, gateway.received["k"].version);
 }
 
-TEST(Plumbing, ACopyIsCompleteByOneListUnderTheHighestEpochThatItKnows) {
-  Followed gateway;
-  gateway.State(2, false, 0, false);  // a core out of contact
-  CHECK(!gateway.copy.complete());
-  gateway.State(1, true, 7, true);  // of an epoch that is over
-  CHECK(!gateway.copy.complete());
+TEST(Plumbing, ACacheIsCompleteAfterOneListOfTheHighestKnownEpoch) {
+  CachedTable gateway;
+  gateway.State(2, false, 0, false);  // a core without quorum contact
+  CHECK(!gateway.cache.complete());
+  gateway.State(1, true, 7, true);  // of an old epoch
+  CHECK(!gateway.cache.complete());
   gateway.State(2, true, 9, true);
-  CHECK(gateway.copy.complete());
+  CHECK(gateway.cache.complete());
   gateway.State(3, false, 0, false);
-  CHECK(gateway.copy.complete());
+  CHECK(gateway.cache.complete());
 }
 
-TEST(Plumbing, AListEndsWhatItsCoreNoLongerHoldsAndNothingOlderBringsItBack) {
-  Followed gateway;
+TEST(Plumbing, AListRemovesAbsentKeysAndOlderUpdatesDoNotRestoreThem) {
+  CachedTable gateway;
   gateway.Push(10, {{"a", 1, false, "x"}, {"b", 1, false, "x"}});
   gateway.Push(12, {{"c", 1, false, "x"}});
-  gateway.Push(11, {{"b", 1, false, "x"}});  // part of a list that began at 11, from a core that is behind
+  gateway.Push(11, {{"b", 1, false, "x"}});  // part of a list that began at 11, from a core that lags
   gateway.State(1, true, 11, true);
-  CHECK(gateway.told["a"].dropped);
-  CHECK(!gateway.told["b"].dropped);
-  CHECK(!gateway.told["c"].dropped);                              // came later than that list began
-  gateway.Push(9, {{"a", 1, false, "x"}, {"d", 1, false, "x"}});  // of a core that is far behind
-  CHECK(gateway.told["a"].dropped);
-  CHECK(gateway.told.count("d") == 0);
+  CHECK(gateway.received["a"].dropped);
+  CHECK(!gateway.received["b"].dropped);
+  CHECK(!gateway.received["c"].dropped);                          // newer than the start of the list
+  gateway.Push(9, {{"a", 1, false, "x"}, {"d", 1, false, "x"}});  // from a core that lags far behind
+  CHECK(gateway.received["a"].dropped);
+  CHECK(gateway.received.count("d") == 0);
   gateway.Push(13, {{"a", 2, false, "x"}}, {"c"});
-  CHECK(!gateway.told["a"].dropped);
-  CHECK(gateway.told["c"].dropped);
+  CHECK(!gateway.received["a"].dropped);
+  CHECK(gateway.received["c"].dropped);
   gateway.Push(12, {{"c", 1, false, "x"}});
-  CHECK(gateway.told["c"].dropped);
+  CHECK(gateway.received["c"].dropped);
 }
 
-TEST(Plumbing, TombstonesDoNotCountInWhatACopyTellsThatItHas) {
-  Followed gateway;
+TEST(Plumbing, DigestsOfACacheExcludeTombstones) {
+  CachedTable gateway;
   CHECK(gateway.Empty());
   gateway.Push(1, {{"k", 1, false, "x"}});
   CHECK(!gateway.Empty());
@@ -705,7 +710,7 @@
   CHECK(gateway.Empty());
 }
 
-TEST(Plumbing, SettingsTellEveryFaultByItsField) {
+TEST(Plumbing, FaultsOfSettingsNameEveryInvalidField) {
   process::Settings settings;
   auto faults = process::ReadSettings(
       R"({"node_name":5,"zone":"z","internal_port_range":[9],"seed_nodes":"x","fault_tolerance":{"machine_failures":-1},"timing_bounds":{"grace_s":"long"}})",
@@ -714,5 +719,5 @@
   for (const auto& fault : faults) all += fault + "\n";
   for (const char* field : {"node_name", "ip_address", "internal_port_range", "seed_nodes",
                             "fault_tolerance.machine_failures", "timing_bounds.grace_s"})
-    Has(all, field);
+    CheckContains(all, field);
 }
--- a/tests/system/lifecycle_search_test.cpp
+++ b/tests/system/lifecycle_search_test.cpp
@@ -1,7 +1,7 @@
-// Exhaustive search over the state machine of requests: two clients, two backends, a kept connection to each,
-// and every event at every moment at which sockets, peers and timers could bring it. States are compared by
-// their whole content, with identities numbered anew, so that each is looked at once. What must hold is
-// checked after every effect.
+// Exhaustive search over the request state machine: two clients, two backends, an idle connection to each,
+// and every event at every moment at which sockets, peers and timers could produce it. States are compared by
+// their whole content with normalized identifiers, so that each is visited once. The invariants are checked
+// after every effect.
 
 #include <algorithm>
 #include <array>
@@ -15,7 +15,7 @@
 #include "request_lifecycle/lifecycle.h"
 
 // clang-format off
-#include <CppUTest/TestHarness.h>  // after all others: it names new anew
+#include <CppUTest/TestHarness.h>  // last, because it redefines operator new
 // clang-format on
 
 using namespace ivygw;
@@ -25,41 +25,41 @@
 namespace {
 
 constexpr int kMaxAttempts = 2;
-constexpr int kMostNotSent = 1;
-constexpr size_t kMostStates = 3'000'000;
-const std::string kStranger = "stranger";
+constexpr int kMaxUnsentAttempts = 1;
+constexpr size_t kMaxStates = 3'000'000;
+const std::string kForeignId = "foreign";
 
 std::string IdOf(RequestId request) { return "id" + std::to_string(request.value); }
 
-// Which of two backends is preferred, and whether there is a budget: both are tried wherever they are asked
-// for.
+// Fixes which of two backends is preferred and whether there is a budget. The search tries both values of
+// each where a step requests them.
 class ChoicePolicy : public BackendPolicy {
  public:
   std::string Choose(double, const std::string&, const std::set<std::string>& tried) override {
     bool first = !tried.count("b1"), second = !tried.count("b2");
     if (!first && !second) return {};
     if (!first || !second) return first ? "b1" : "b2";
-    asked_backend = true;
+    backend_requested = true;
     return prefer_second ? "b2" : "b1";
   }
   void OnAttemptStarted(const std::string&) override { ++started; }
   void OnAttemptEnded(double, const std::string&, AttemptResult) override { ++ended; }
   bool MayRetry(double, const std::string&) override {
-    asked_budget = true;
+    budget_requested = true;
     return budget;
   }
   void OnRetry(double, const std::string& service) override { retried.push_back(std::stoull(service)); }
   bool IsDrained(const std::string&) override { return false; }
 
   bool prefer_second = false, budget = true;
-  bool asked_backend = false, asked_budget = false;
+  bool backend_requested = false, budget_requested = false;
   int started = 0, ended = 0;     // in this step
-  std::vector<uint64_t> retried;  // in this step, the requests; each is its own service
+  std::vector<uint64_t> retried;  // requests retried in this step; each is its own service
 };
 ChoicePolicy policy;
 
 enum class MoveKind : uint8_t {
-  kClientAsks,
+  kClientRequests,
   kClientCloses,
   kClientDrains,
   kAdmit,
@@ -68,29 +68,29 @@
   kRefused,
   kAccepted,
   kStale,
-  kNothingTaken,
+  kNothingWritten,
   kReset,
   kServed,
   kServedAndClosed,
-  kFailed,
-  kPromise,
+  kServerError,
+  kServiceUnavailable,
   kNotExecuted,
   kMisdirected,
-  kRefusedWithoutId,
-  kStrangersRefusal,
-  kStrangersAnswer,
+  kRejectedWithoutId,
+  kForeignRejection,
+  kForeignAnswer,
   kAnswerWithoutId,
   kUnsealed,
-  kStreams,
-  kStrangersStream,
-  kPart,
+  kStreamStarts,
+  kForeignStream,
+  kStreamPart,
   kStreamEnds,
   kDeadline,
   kConnectTimer,
   kSweep,
 };
 const char* const kMoveNames[] = {
-    "client asks",
+    "client requests",
     "client closes",
     "client drains",
     "admitted",
@@ -99,22 +99,22 @@
     "refused",
     "write accepted",
     "stale",
-    "nothing taken",
+    "nothing written",
     "reset",
     "served",
-    "served, closed",
+    "served, connection closed",
     "own 500",
     "own 503 without proof",
     "own Not-Executed",
     "own 421",
-    "turned away without id",
-    "surplus refusal without id",
-    "answer of another",
+    "rejected without id",
+    "extra rejection without id",
+    "answer to another request",
     "answer without id",
     "answer without seal",
-    "streams",
-    "stream of another",
-    "part",
+    "stream starts",
+    "stream for another request",
+    "stream part",
     "stream ends",
     "deadline",
     "connect timer",
@@ -122,53 +122,53 @@
 };
 struct Move {
   MoveKind kind;
-  uint64_t id = 0;       // of the client, the request or the connection
-  uint64_t attempt = 0;  // of a connect timer
+  uint64_t id = 0;       // of the client, request or connection
+  uint64_t attempt = 0;  // for a connect timer
 };
 
 struct ClientModel {
   RequestId waiting;
-  int asks_left = 0;
+  int requests_left = 0;
   bool closed = false;
 };
 struct RequestModel {
   ClientId client;
   bool idempotent = false, admitted = false, deadline_armed = false, streaming = false, answered = false;
-  bool served = false;  // a backend has sent its own answer
-  int may_run = 0;      // sends that a backend may run
-  int arrivals = 0;     // sends that the system took
-  int permitted = 0;    // further arrivals that the budget allowed
+  bool served = false;  // a backend has sent its answer
+  int may_run = 0;      // attempts that a backend may run
+  int arrivals = 0;     // attempts that the system accepted
+  int permitted = 0;    // retries that the budget allowed
 };
 struct ConnectionModel {
   enum class State : uint8_t { kOpening, kIdle, kWriting, kBusy, kStreaming } state = State::kOpening;
   RequestId request;
   int written = 0;
-  bool doubt = false, part_asked = false;
-  uint64_t attempt = 0;  // for which it was opened, and its opening was timed
+  bool untrusted = false, part_requested = false;
+  uint64_t attempt = 0;  // for which it was opened and its connect timer started
 };
 
-class World {
+class Model {
  public:
-  World() : lifecycle(&policy, {kMostNotSent}) {}
+  Model() : lifecycle(&policy, {kMaxUnsentAttempts}) {}
 
   Lifecycle lifecycle;
   std::map<uint64_t, ClientModel> clients;
   std::map<uint64_t, RequestModel> requests;
   std::map<uint64_t, ConnectionModel> connections;
-  std::array<bool, 3> idempotent{};  // of the requests of client 1 and 2
+  std::array<bool, 3> idempotent{};  // by client, 1 or 2
   uint64_t last_connection = 0;
   std::string broken;  // the first invariant that did not hold
 
-  std::vector<Move> Moves() const;
-  // Timers that fire late and callbacks of connections that have ended: none may do anything.
+  std::vector<Move> PossibleMoves() const;
+  // Delivers late timers and callbacks of closed connections, which must have no effect.
   void CheckLateEvents();
   void Apply(const Move& move);
-  std::string Key() const;
+  std::string StateKey() const;
 
  private:
-  std::string KeyAs(bool swap_backends, bool swap_clients) const;
+  std::string StateKeyWith(bool swap_backends, bool swap_clients) const;
   template <typename Event>
-  void Tell(Event event);
+  void Handle(Event event);
   void Check(bool holds, const char* invariant) {
     if (!holds && broken.empty()) broken = invariant;
   }
@@ -180,35 +180,35 @@
     reply.content.body = IdOf(request);
     return reply;
   }
-  void Ask(uint64_t client);
+  void StartRequest(uint64_t client);
   void Answer(const Move& move);
-  void Take(const OpenConnection& effect);
-  void Take(const SendRequest& effect);
-  void Take(const CloseConnection& effect) { connections.erase(effect.connection.value); }
-  void Take(const ReadAnswerPart& effect);
-  void Take(const ArmDeadline& effect) { requests.at(effect.request.value).deadline_armed = true; }
-  void Take(const ReplyNotRun& effect);
-  void Take(const ReplyUnknown& effect) { Answered(effect.client, effect.request); }
-  void Take(const ForwardAnswer& effect);
-  void Take(const ForwardStart& effect);
-  void Take(const ForwardPart& effect);
-  void Take(const ForwardEnd& effect);
-  void Take(const AbortReply& effect);
-  void Take(const ReleaseRequest& effect);
-  RequestModel* Waiting(ClientId client, RequestId request);
-  void Answered(ClientId client, RequestId request);
+  void ApplyEffect(const OpenConnection& effect);
+  void ApplyEffect(const SendRequest& effect);
+  void ApplyEffect(const CloseConnection& effect) { connections.erase(effect.connection.value); }
+  void ApplyEffect(const ReadAnswerPart& effect);
+  void ApplyEffect(const ArmDeadline& effect) { requests.at(effect.request.value).deadline_armed = true; }
+  void ApplyEffect(const ReplyNotRun& effect);
+  void ApplyEffect(const ReplyUnknown& effect) { OnAnswered(effect.client, effect.request); }
+  void ApplyEffect(const ForwardAnswer& effect);
+  void ApplyEffect(const ForwardStart& effect);
+  void ApplyEffect(const ForwardPart& effect);
+  void ApplyEffect(const ForwardEnd& effect);
+  void ApplyEffect(const AbortReply& effect);
+  void ApplyEffect(const ReleaseRequest& effect);
+  RequestModel* FindWaiting(ClientId client, RequestId request);
+  void OnAnswered(ClientId client, RequestId request);
 };
 
 template <typename Event>
-void World::Tell(Event event) {
+void Model::Handle(Event event) {
   Effects effects;
   lifecycle.On(0, std::move(event), &effects);
-  bool allowed = policy.asked_budget && policy.budget;
+  bool allowed = policy.budget_requested && policy.budget;
   Check(allowed || policy.retried.empty(), "budget: a retry without one");
   for (uint64_t id : policy.retried) {
     if (auto it = requests.find(id); it != requests.end()) ++it->second.permitted;
   }
-  for (const Effect& effect : effects) std::visit([this](const auto& each) { Take(each); }, effect);
+  for (const Effect& effect : effects) std::visit([this](const auto& each) { ApplyEffect(each); }, effect);
   int out = 0;
   for (const auto& [id, request] : lifecycle.requests()) out += request.connection.valid();
   size_t open = lifecycle.connections().size();
@@ -220,7 +220,7 @@
   }
 }
 
-void World::Take(const OpenConnection& effect) {
+void Model::ApplyEffect(const OpenConnection& effect) {
   Check(connections.count(effect.connection.value) == 0, "identity: a connection's was used again");
   ConnectionModel& connection = connections[effect.connection.value];
   last_connection = effect.connection.value;
@@ -228,7 +228,7 @@
   connection.attempt = effect.attempt.value;
 }
 
-void World::Take(const SendRequest& effect) {
+void Model::ApplyEffect(const SendRequest& effect) {
   auto it = connections.find(effect.connection.value);
   auto request = requests.find(effect.request.value);
   Check(it != connections.end(), "doubt: a request on a connection that has ended");
@@ -237,7 +237,7 @@
   ConnectionModel& connection = it->second;
   Check(connection.state == ConnectionModel::State::kIdle,
         "doubt: a request on a connection that is not idle");
-  Check(!connection.doubt, "doubt: a request on a connection in doubt");
+  Check(!connection.untrusted, "doubt: a request on a connection in doubt");
   RequestModel& sent = request->second;
   Check(sent.idempotent || sent.may_run == 0, "twice: sent again although it may have run");
   Check(sent.arrivals <= sent.permitted, "budget: arrives again without permission");
@@ -247,15 +247,15 @@
   ++connection.written;
 }
 
-void World::Take(const ReadAnswerPart& effect) {
+void Model::ApplyEffect(const ReadAnswerPart& effect) {
   auto it = connections.find(effect.connection.value);
   Check(it != connections.end() && it->second.state == ConnectionModel::State::kStreaming,
         "parts: none to read");
-  if (broken.empty()) it->second.part_asked = true;
+  if (broken.empty()) it->second.part_requested = true;
 }
 
-// The request, where its client waits for an answer to just that.
-RequestModel* World::Waiting(ClientId client, RequestId request) {
+// Returns the request if its client is waiting for its answer.
+RequestModel* Model::FindWaiting(ClientId client, RequestId request) {
   auto it = clients.find(client.value);
   bool waits = it != clients.end() && !it->second.closed && it->second.waiting == request;
   Check(waits, "answered once: an answer that nobody waits for");
@@ -265,47 +265,47 @@
   return &model;
 }
 
-void World::Answered(ClientId client, RequestId request) {
-  RequestModel* model = Waiting(client, request);
+void Model::OnAnswered(ClientId client, RequestId request) {
+  RequestModel* model = FindWaiting(client, request);
   if (!model) return;
   Check(!model->streaming, "answered once: a whole answer after a begun one");
   model->answered = true;
   clients.at(client.value).waiting = {};
 }
 
-void World::Take(const ReplyNotRun& effect) {
+void Model::ApplyEffect(const ReplyNotRun& effect) {
   const RequestModel& model = requests.at(effect.request.value);
   Check(model.may_run == 0, "refused: a promise about a request that may have run");
-  Answered(effect.client, effect.request);
+  OnAnswered(effect.client, effect.request);
 }
 
-void World::Take(const ForwardAnswer& effect) {
+void Model::ApplyEffect(const ForwardAnswer& effect) {
   Check(effect.content.body == IdOf(effect.request), "mixed: another request's answer");
   Check(requests.at(effect.request.value).served, "mixed: an answer that its backend did not give");
-  Answered(effect.client, effect.request);
+  OnAnswered(effect.client, effect.request);
 }
 
-void World::Take(const ForwardStart& effect) {
+void Model::ApplyEffect(const ForwardStart& effect) {
   Check(effect.content.body == IdOf(effect.request), "mixed: another request's answer begun");
-  if (RequestModel* model = Waiting(effect.client, effect.request)) model->streaming = true;
+  if (RequestModel* model = FindWaiting(effect.client, effect.request)) model->streaming = true;
 }
 
-void World::Take(const ForwardPart& effect) {
+void Model::ApplyEffect(const ForwardPart& effect) {
   const ClientModel& client = clients.at(effect.client.value);
   Check(client.waiting.valid() && effect.bytes == IdOf(client.waiting),
         "mixed: a part of another request's answer");
 }
 
-void World::Take(const ForwardEnd& effect) {
-  RequestModel* model = Waiting(effect.client, effect.request);
+void Model::ApplyEffect(const ForwardEnd& effect) {
+  RequestModel* model = FindWaiting(effect.client, effect.request);
   if (!model) return;
   Check(model->streaming, "answered once: the end of an answer that had not begun");
   model->streaming = false;
-  Answered(effect.client, effect.request);
+  OnAnswered(effect.client, effect.request);
 }
 
-void World::Take(const AbortReply& effect) {
-  RequestModel* model = Waiting(effect.client, effect.request);
+void Model::ApplyEffect(const AbortReply& effect) {
+  RequestModel* model = FindWaiting(effect.client, effect.request);
   if (!model) return;
   Check(model->streaming, "answered once: an abort of what had not begun");
   model->answered = true;
@@ -313,7 +313,7 @@
   clients.at(effect.client.value).waiting = {};
 }
 
-void World::Take(const ReleaseRequest& effect) {
+void Model::ApplyEffect(const ReleaseRequest& effect) {
   auto it = requests.find(effect.request.value);
   Check(it != requests.end(), "identity: released twice");
   if (!broken.empty()) return;
@@ -322,9 +322,9 @@
   requests.erase(it);
 }
 
-void World::Ask(uint64_t client) {
+void Model::StartRequest(uint64_t client) {
   RequestId id = lifecycle.StartRequest(ClientId{client});
-  --clients.at(client).asks_left;
+  --clients.at(client).requests_left;
   clients.at(client).waiting = id;
   RequestModel model;
   model.client = ClientId{client};
@@ -332,21 +332,21 @@
   requests[id.value] = model;
 }
 
-std::vector<Move> World::Moves() const {
+std::vector<Move> Model::PossibleMoves() const {
   using State = ConnectionModel::State;
   std::vector<Move> moves;
   auto add = [&moves](std::initializer_list<MoveKind> kinds, uint64_t id) {
     for (MoveKind kind : kinds) moves.push_back({kind, id});
   };
-  // What a write comes to is known before anything else can happen.
+  // The result of a write is known before anything else can happen.
   for (const auto& [id, connection] : connections) {
     if (connection.state != State::kWriting) continue;
-    add({MoveKind::kAccepted, MoveKind::kStale, MoveKind::kNothingTaken}, id);
+    add({MoveKind::kAccepted, MoveKind::kStale, MoveKind::kNothingWritten}, id);
     return moves;
   }
   for (const auto& [id, client] : clients) {
     if (client.closed) continue;
-    if (!client.waiting.valid() && client.asks_left > 0) add({MoveKind::kClientAsks}, id);
+    if (!client.waiting.valid() && client.requests_left > 0) add({MoveKind::kClientRequests}, id);
     if (!client.waiting.valid()) continue;
     add({MoveKind::kClientCloses}, id);
     const RequestModel& request = requests.at(client.waiting.value);
@@ -364,22 +364,22 @@
     if (connection.state == State::kIdle) add({MoveKind::kReset}, id);
     if (connection.state == State::kStreaming) {
       add({MoveKind::kReset}, id);
-      if (connection.part_asked) add({MoveKind::kPart, MoveKind::kStreamEnds}, id);
+      if (connection.part_requested) add({MoveKind::kStreamPart, MoveKind::kStreamEnds}, id);
     }
     if (connection.state != State::kBusy) continue;
-    add({MoveKind::kReset, MoveKind::kServed, MoveKind::kServedAndClosed, MoveKind::kFailed,
-         MoveKind::kPromise, MoveKind::kNotExecuted, MoveKind::kMisdirected, MoveKind::kRefusedWithoutId,
-         MoveKind::kStrangersAnswer, MoveKind::kAnswerWithoutId, MoveKind::kUnsealed, MoveKind::kStreams,
-         MoveKind::kStrangersStream},
+    add({MoveKind::kReset, MoveKind::kServed, MoveKind::kServedAndClosed, MoveKind::kServerError,
+         MoveKind::kServiceUnavailable, MoveKind::kNotExecuted, MoveKind::kMisdirected,
+         MoveKind::kRejectedWithoutId, MoveKind::kForeignAnswer, MoveKind::kAnswerWithoutId,
+         MoveKind::kUnsealed, MoveKind::kStreamStarts, MoveKind::kForeignStream},
         id);
-    // A surplus answer needs an earlier request on the connection.
-    if (connection.written > 1) add({MoveKind::kStrangersRefusal}, id);
+    // An extra answer needs an earlier request on the connection.
+    if (connection.written > 1) add({MoveKind::kForeignRejection}, id);
   }
   if (!lifecycle.idle().empty()) add({MoveKind::kSweep}, 0);
   return moves;
 }
 
-void World::CheckLateEvents() {
+void Model::CheckLateEvents() {
   Effects effects;
   for (const auto& [id, connection] : connections) {
     if (connection.state == ConnectionModel::State::kOpening) continue;
@@ -400,8 +400,8 @@
   Check(effects.empty(), "late: an event of what has ended");
 }
 
-// What a backend sends on a connection on which a request waits.
-void World::Answer(const Move& move) {
+// A backend sends an answer on a connection with a request.
+void Model::Answer(const Move& move) {
   ConnectionModel& connection = connections.at(move.id);
   ConnectionId id{move.id};
   RequestModel& request = requests.at(connection.request.value);
@@ -411,11 +411,11 @@
   switch (move.kind) {
     case MoveKind::kServedAndClosed: reply.reusable = false; [[fallthrough]];
     case MoveKind::kServed: request.served = true; break;
-    case MoveKind::kFailed:
+    case MoveKind::kServerError:
       reply.content.status = 500;
       request.served = true;
       break;
-    case MoveKind::kPromise: reply.content.status = 503; break;
+    case MoveKind::kServiceUnavailable: reply.content.status = 503; break;
     case MoveKind::kNotExecuted:
       reply.content.status = 503;
       reply.not_executed = not_run = true;
@@ -424,57 +424,57 @@
       reply.content.status = 421;
       not_run = true;
       break;
-    case MoveKind::kRefusedWithoutId:
+    case MoveKind::kRejectedWithoutId:
       reply.content.status = 503;
       reply.attempt_id.clear();
       reply.not_executed = not_run = true;
       break;
-    case MoveKind::kStrangersRefusal:
+    case MoveKind::kForeignRejection:
       reply.content.status = 421;
       reply.attempt_id.clear();
-      connection.doubt = true;
+      connection.untrusted = true;
       break;
-    case MoveKind::kStrangersAnswer:
-      reply.attempt_id = reply.content.body = kStranger;
-      connection.doubt = true;
+    case MoveKind::kForeignAnswer:
+      reply.attempt_id = reply.content.body = kForeignId;
+      connection.untrusted = true;
       break;
     case MoveKind::kAnswerWithoutId:
       reply.attempt_id.clear();
-      reply.content.body = kStranger;
-      connection.doubt = true;
+      reply.content.body = kForeignId;
+      connection.untrusted = true;
       break;
     default:  // kUnsealed
       reply.sealed = false;
-      reply.content.body = kStranger;
-      connection.doubt = true;
+      reply.content.body = kForeignId;
+      connection.untrusted = true;
       break;
   }
-  if (!reply.reusable) connection.doubt = true;
+  if (!reply.reusable) connection.untrusted = true;
   if (not_run) --request.may_run;
-  Tell(AnswerReceived{id, std::move(reply)});
+  Handle(AnswerReceived{id, std::move(reply)});
 }
 
-void World::Apply(const Move& move) {
+void Model::Apply(const Move& move) {
   using State = ConnectionModel::State;
   ConnectionId connection{move.id};
   switch (move.kind) {
-    case MoveKind::kClientAsks: return Ask(move.id);
+    case MoveKind::kClientRequests: return StartRequest(move.id);
     case MoveKind::kClientCloses:
       clients.at(move.id).closed = true;
       clients.at(move.id).waiting = {};
-      return Tell(ClientClosed{ClientId{move.id}});
-    case MoveKind::kClientDrains: return Tell(ClientDrained{ClientId{move.id}});
+      return Handle(ClientClosed{ClientId{move.id}});
+    case MoveKind::kClientDrains: return Handle(ClientDrained{ClientId{move.id}});
     case MoveKind::kAdmit: {
       RequestModel& request = requests.at(move.id);
       request.admitted = true;
-      return Tell(RequestAdmitted{RequestId{move.id}, IdOf(RequestId{move.id}), std::to_string(move.id),
-                                  request.idempotent, kMaxAttempts, 1});
+      return Handle(RequestAdmitted{RequestId{move.id}, IdOf(RequestId{move.id}), std::to_string(move.id),
+                                    request.idempotent, kMaxAttempts, 1});
     }
-    case MoveKind::kReject: return Tell(RequestRejected{RequestId{move.id}, 429, 1, "limit"});
+    case MoveKind::kReject: return Handle(RequestRejected{RequestId{move.id}, 429, 1, "limit"});
     case MoveKind::kOpened:
       connections.at(move.id).state = State::kIdle;
-      return Tell(ConnectionOpened{connection});
-    case MoveKind::kRefused: return Tell(ConnectionLost{connection, false});
+      return Handle(ConnectionOpened{connection});
+    case MoveKind::kRefused: return Handle(ConnectionLost{connection, false});
     case MoveKind::kAccepted: {
       ConnectionModel& model = connections.at(move.id);
       model.state = State::kBusy;
@@ -483,65 +483,66 @@
       ++request.arrivals;
       return;
     }
-    case MoveKind::kStale: return Tell(ConnectionStale{connection});
-    case MoveKind::kNothingTaken: return Tell(ConnectionLost{connection, false});
-    case MoveKind::kReset: return Tell(ConnectionLost{connection, true});
-    case MoveKind::kStreams: {
+    case MoveKind::kStale: return Handle(ConnectionStale{connection});
+    case MoveKind::kNothingWritten: return Handle(ConnectionLost{connection, false});
+    case MoveKind::kReset: return Handle(ConnectionLost{connection, true});
+    case MoveKind::kStreamStarts: {
       ConnectionModel& model = connections.at(move.id);
       model.state = State::kStreaming;
       RequestId request = model.request;
       requests.at(request.value).served = true;
-      return Tell(AnswerStarted{connection, Reply(request, 200)});
+      return Handle(AnswerStarted{connection, Reply(request, 200)});
     }
-    case MoveKind::kStrangersStream: {
+    case MoveKind::kForeignStream: {
       BackendReply reply = Reply(connections.at(move.id).request, 200);
-      reply.attempt_id = reply.content.body = kStranger;
+      reply.attempt_id = reply.content.body = kForeignId;
       connections.at(move.id).state = State::kStreaming;
-      connections.at(move.id).doubt = true;
-      return Tell(AnswerStarted{connection, std::move(reply)});
+      connections.at(move.id).untrusted = true;
+      return Handle(AnswerStarted{connection, std::move(reply)});
     }
-    case MoveKind::kPart: {
+    case MoveKind::kStreamPart: {
       ConnectionModel& model = connections.at(move.id);
-      model.part_asked = false;
-      return Tell(AnswerPart{connection, IdOf(model.request)});
+      model.part_requested = false;
+      return Handle(AnswerPart{connection, IdOf(model.request)});
     }
     case MoveKind::kStreamEnds: {
       connections.at(move.id).state = State::kIdle;
-      return Tell(AnswerEnded{connection, true});
+      return Handle(AnswerEnded{connection, true});
     }
     case MoveKind::kDeadline: {
       RequestModel& request = requests.at(move.id);
       request.deadline_armed = false;
       bool due = !request.streaming && !clients.at(request.client.value).closed;
-      Tell(DeadlineReached{RequestId{move.id}});
+      Handle(DeadlineReached{RequestId{move.id}});
       bool answered = requests.count(move.id) == 0;
       return Check(!due || answered, "answered once: not answered at its deadline");
     }
-    case MoveKind::kConnectTimer: return Tell(ConnectTimedOut{connection, AttemptId{move.attempt}});
+    case MoveKind::kConnectTimer: return Handle(ConnectTimedOut{connection, AttemptId{move.attempt}});
     case MoveKind::kSweep: {
       Effects effects;
       lifecycle.On(1000, IdleSweep{}, &effects);
-      for (const Effect& effect : effects) std::visit([this](const auto& each) { Take(each); }, effect);
+      for (const Effect& effect : effects)
+        std::visit([this](const auto& each) { ApplyEffect(each); }, effect);
       return;
     }
     default: return Answer(move);
   }
 }
 
-// The whole state without its identities: a live request is named by its client, of which each has one at
-// most, and connections are told apart by what they are. States that differ by which backend, or which of two
-// like clients, is which count as one.
-std::string World::Key() const {
-  bool like_clients = idempotent[1] == idempotent[2];
-  std::string least;
-  for (int mirror = 0; mirror < (like_clients ? 4 : 2); ++mirror) {
-    std::string key = KeyAs(mirror & 1, mirror & 2);
-    if (mirror == 0 || key < least) least = std::move(key);
+// Returns the whole state without identifiers: an unfinished request is named by its client, which has at
+// most one, and connections are distinguished by their content. States that differ only by an exchange of the
+// backends, or of two clients of the same kind, have the same key.
+std::string Model::StateKey() const {
+  bool same_kind = idempotent[1] == idempotent[2];
+  std::string smallest;
+  for (int symmetry = 0; symmetry < (same_kind ? 4 : 2); ++symmetry) {
+    std::string key = StateKeyWith(symmetry & 1, symmetry & 2);
+    if (symmetry == 0 || key < smallest) smallest = std::move(key);
   }
-  return least;
+  return smallest;
 }
 
-std::string World::KeyAs(bool swap_backends, bool swap_clients) const {
+std::string Model::StateKeyWith(bool swap_backends, bool swap_clients) const {
   auto client_name = [&](uint64_t client) { return static_cast<int>(swap_clients ? 3 - client : client); };
   auto request_name = [&](RequestId id) {
     auto it = requests.find(id.value);
@@ -552,7 +553,7 @@
   std::array<std::string, 3> parts;
   for (const auto& [id, client] : clients) {
     put(&parts[static_cast<size_t>(client_name(id))], request_name(client.waiting) != 0);
-    put(&parts[static_cast<size_t>(client_name(id))], client.asks_left * 2 + client.closed);
+    put(&parts[static_cast<size_t>(client_name(id))], client.requests_left * 2 + client.closed);
   }
   for (const auto& [id, request] : requests) {
     std::string* part = &parts[static_cast<size_t>(client_name(request.client.value))];
@@ -566,7 +567,7 @@
     for (const std::string& backend : own.tried) tried += backend_name(backend);
     put(part, tried);
   }
-  std::vector<std::string> links;
+  std::vector<std::string> connection_keys;
   for (const auto& [id, connection] : connections) {
     const Lifecycle::Connection& own = lifecycle.connections().at(ConnectionId{id});
     std::string text;
@@ -579,44 +580,44 @@
     put(&text, static_cast<int>(connection.state));
     put(&text, request_name(connection.request));
     put(&text, request_name(own.request) + 4 * own.open + 8 * (own.attempt.value == connection.attempt));
-    put(&text, std::min(connection.written, 2) + 4 * connection.doubt + 8 * connection.part_asked +
+    put(&text, std::min(connection.written, 2) + 4 * connection.untrusted + 8 * connection.part_requested +
                    16 * static_cast<int>(std::min(own.written, 2u)));
-    links.push_back(std::move(text));
+    connection_keys.push_back(std::move(text));
   }
-  std::sort(links.begin(), links.end());
+  std::sort(connection_keys.begin(), connection_keys.end());
   std::string key = parts[1] + '|' + parts[2];
-  for (const std::string& link : links) key += '|' + link;
+  for (const std::string& connection_key : connection_keys) key += '|' + connection_key;
   return key;
 }
 
-// Two kept connections, one to each backend, on which a request was served.
-World Start(bool first_idempotent, bool second_idempotent, int first_asks, int second_asks) {
-  World world;
+// Returns a state with an idle connection to each backend, on which one request has been served.
+Model Start(bool first_idempotent, bool second_idempotent, int first_requests, int second_requests) {
+  Model model;
   for (uint64_t client : {3u, 4u}) {
     policy = ChoicePolicy();
     policy.prefer_second = client == 4;
-    world.clients[client].asks_left = 1;
-    world.Apply({MoveKind::kClientAsks, client});
-    world.Apply({MoveKind::kAdmit, world.clients[client].waiting.value});
-    uint64_t connection = world.connections.rbegin()->first;
+    model.clients[client].requests_left = 1;
+    model.Apply({MoveKind::kClientRequests, client});
+    model.Apply({MoveKind::kAdmit, model.clients[client].waiting.value});
+    uint64_t connection = model.connections.rbegin()->first;
     for (MoveKind kind : {MoveKind::kOpened, MoveKind::kAccepted, MoveKind::kServed})
-      world.Apply({kind, connection});
-    world.clients.erase(client);
+      model.Apply({kind, connection});
+    model.clients.erase(client);
   }
-  world.idempotent = {false, first_idempotent, second_idempotent};
-  world.clients[1].asks_left = first_asks;
-  world.clients[2].asks_left = second_asks;
-  return world;
+  model.idempotent = {false, first_idempotent, second_idempotent};
+  model.clients[1].requests_left = first_requests;
+  model.clients[2].requests_left = second_requests;
+  return model;
 }
 
 struct Step {
-  size_t before;
+  size_t previous;
   Move move;
 };
 
 std::string StepsUpTo(const std::vector<Step>& steps, size_t at) {
   std::string text;
-  for (; at != 0; at = steps[at].before) {
+  for (; at != 0; at = steps[at].previous) {
     const Move& move = steps[at].move;
     text =
         std::string("\n  ") + kMoveNames[static_cast<int>(move.kind)] + " " + std::to_string(move.id) + text;
@@ -624,36 +625,36 @@
   return text;
 }
 
-size_t Search(const World& start, const char* name) {
+size_t Search(const Model& start, const char* name) {
   std::vector<Step> steps{{0, {}}};
-  std::unordered_set<std::string> seen{start.Key()};
-  std::vector<std::pair<World, size_t>> stack{{start, 0}};
+  std::unordered_set<std::string> seen{start.StateKey()};
+  std::vector<std::pair<Model, size_t>> stack{{start, 0}};
   size_t transitions = 0;
   while (!stack.empty()) {
-    auto [world, at] = std::move(stack.back());
+    auto [model, at] = std::move(stack.back());
     stack.pop_back();
-    world.CheckLateEvents();
-    if (!world.broken.empty()) FAIL(("broken: " + world.broken + StepsUpTo(steps, at)).c_str());
-    for (const Move& move : world.Moves()) {
-      bool asked_backend = false, asked_budget = false;
+    model.CheckLateEvents();
+    if (!model.broken.empty()) FAIL(("broken: " + model.broken + StepsUpTo(steps, at)).c_str());
+    for (const Move& move : model.PossibleMoves()) {
+      bool backend_requested = false, budget_requested = false;
       for (int choice = 0; choice < 4; ++choice) {
-        if ((choice & 1) && !asked_backend) continue;
-        if ((choice & 2) && !asked_budget) continue;
+        if ((choice & 1) && !backend_requested) continue;
+        if ((choice & 2) && !budget_requested) continue;
         policy = ChoicePolicy();
         policy.prefer_second = choice & 1;
         policy.budget = !(choice & 2);
-        World next = world;
+        Model next = model;
         next.Apply(move);
-        asked_backend = asked_backend || policy.asked_backend;
-        asked_budget = asked_budget || policy.asked_budget;
+        backend_requested = backend_requested || policy.backend_requested;
+        budget_requested = budget_requested || policy.budget_requested;
         ++transitions;
         if (!next.broken.empty()) {
           steps.push_back({at, move});
-          std::string told = "broken: " + next.broken + StepsUpTo(steps, steps.size() - 1);
-          FAIL(told.c_str());
+          std::string failure = "broken: " + next.broken + StepsUpTo(steps, steps.size() - 1);
+          FAIL(failure.c_str());
         }
-        if (!seen.insert(next.Key()).second) continue;
-        if (seen.size() > kMostStates) FAIL("more states than the search has room for");
+        if (!seen.insert(next.StateKey()).second) continue;
+        if (seen.size() > kMaxStates) FAIL("the search exceeds its limit of states");
         steps.push_back({at, move});
         stack.emplace_back(std::move(next), steps.size() - 1);
       }
@@ -668,10 +669,10 @@
 TEST_GROUP(LifecycleSearch){};
 
 TEST(LifecycleSearch, TwoRequestsThatMayRunOnce) { Search(Start(false, false, 1, 1), "once, once"); }
-TEST(LifecycleSearch, OneThatMayBeRepeatedBesideOneThatMayNot) {
-  Search(Start(true, false, 1, 1), "repeatable, once");
+TEST(LifecycleSearch, OneIdempotentRequestAndOneThatMayRunOnce) {
+  Search(Start(true, false, 1, 1), "idempotent, once");
 }
-TEST(LifecycleSearch, TwoThatMayBeRepeated) { Search(Start(true, true, 1, 1), "repeatable, repeatable"); }
-TEST(LifecycleSearch, AClientThatAsksTwiceBesideAnother) {
-  Search(Start(false, true, 2, 1), "once and once more, repeatable");
+TEST(LifecycleSearch, TwoThatMayBeRepeated) { Search(Start(true, true, 1, 1), "idempotent, idempotent"); }
+TEST(LifecycleSearch, AClientWithTwoRequestsAndAnotherClient) {
+  Search(Start(false, true, 2, 1), "once twice, idempotent");
 }
