--- a/tests/system/limits_test.cpp
+++ b/tests/system/limits_test.cpp
@@ -1,6 +1,6 @@
-// Limits over many gateways: the very QuotaAllocator and Admission objects, joined by a simulated network.
-// Whatever is cut, killed or started anew, what all gateways together send stays within what the operators
-// allow in every window.
+// Rate limits over many gateways: QuotaAllocator and Admission objects connected by a simulated network.
+// Whichever links are cut and processes are killed or restarted, the requests that all gateways together
+// admit stay within the allowed number in every window.
 #include <algorithm>
 #include <cmath>
 #include <ctime>
@@ -16,7 +16,7 @@
 #include "rate_limit/admission.h"
 #include "rate_limit/quota_allocator.h"
 
-#include <CppUTest/TestHarness.h>  // after all others: it names new anew
+#include <CppUTest/TestHarness.h>  // last, because it redefines operator new
 
 using namespace ivygw;
 using rate_limit::Admission;
@@ -27,17 +27,17 @@
 struct Options {
   size_t gateways = 11, cores = 3;
   double rate = 60, burst = 60, overload = 1;
-  bool faults = false, lent_twice = false;
+  bool faults = false, forgets_grants = false;
   bool forgets_holders = false;
-  // Records of silent holders say after a lease term that they only retain something, and end with that; else
-  // all gateways count as holders for good.
+  // Durable records of silent holders change from "holder" to "retaining" after a lease term and expire with
+  // the retention; otherwise every gateway counts as a holder permanently.
   bool records_expire = false;
   bool forgets_retaining = false;
 };
 
-class World {
+class Simulation {
  public:
-  World(uint64_t seed, Options options) : options_(options), dice_(seed) {
+  Simulation(uint64_t seed, Options options) : options_(options), random_(seed) {
     tenant_.name = "t";
     tenant_.rate_per_s = options.rate;
     tenant_.burst = options.burst;
@@ -48,37 +48,37 @@
     gateway_cut_.assign(options.gateways, std::vector<bool>(options.cores, false));
   }
 
-  // Until then, a step each 10 ms; what is broken first, or nothing.
+  // Runs until that time in steps of 5 ms. Returns the first violation, or an empty text.
   std::string Run(double until) {
     while (now_ < until) {
       now_ += 0.005;
       Deliver();
-      if (options_.faults && Chance() < 0.01) Trouble();
+      if (options_.faults && Chance() < 0.01) InjectFault();
       for (size_t g = 0; g < gateways_.size(); ++g) {
         Gateway& gateway = gateways_[g];
         if (!gateway.admission) continue;
-        gateway.admission->SetAllocatorCount(InTouch(g).size());
+        gateway.admission->SetAllocatorCount(ConnectedCores(g).size());
         gateway.admission->OnTime(now_);
         if (std::fmod(now_, 0.25) < 0.005) ReportAll(g);
         std::poisson_distribution<int> arrivals(0.62 * options_.rate * options_.overload * gateway.weight *
                                                 0.005);
-        for (int n = arrivals(dice_); n > 0; --n) {
-          ++asked;
-          rate_limit::AdmissionDecision verdict = gateway.admission->OnRequest(now_, tenant_);
-          if (verdict.pending) gateway.pending.push_back(now_);
-          if (verdict.admitted) Admitted(&gateway);
+        for (int n = arrivals(random_); n > 0; --n) {
+          ++requested;
+          rate_limit::AdmissionDecision decision = gateway.admission->OnRequest(now_, tenant_);
+          if (decision.pending) gateway.pending.push_back(now_);
+          if (decision.admitted) Admitted(&gateway);
         }
         while (!gateway.pending.empty() && gateway.pending.front() < now_ - rate_limit::kTokenTimeout) {
           gateway.admission->CancelPending("t");
           gateway.pending.pop_front();
         }
-        if (gateway.admission->needs_tokens()) Draw(g);
+        if (gateway.admission->needs_tokens()) RequestBatch(g);
       }
-      while (!sent_.empty() && sent_.front() < now_ - 5) sent_.pop_front();
-      double most = (options_.rate * 5 + options_.burst) * 1.1 + 20;
-      if (static_cast<double>(sent_.size()) > most) {
-        return "at " + std::to_string(now_) + " " + std::to_string(sent_.size()) + " in a window, " +
-               std::to_string(most) + " allowed";
+      while (!admitted_at_.empty() && admitted_at_.front() < now_ - 5) admitted_at_.pop_front();
+      double allowed = (options_.rate * 5 + options_.burst) * 1.1 + 20;
+      if (static_cast<double>(admitted_at_.size()) > allowed) {
+        return "at " + std::to_string(now_) + " " + std::to_string(admitted_at_.size()) + " in a window, " +
+               std::to_string(allowed) + " allowed";
       }
     }
     return {};
@@ -86,36 +86,36 @@
 
   void CutGateway(size_t g, bool cut) { gateway_cut_[g].assign(options_.cores, cut); }
   void KillCore(size_t c) {
-    cores_[c].lender.reset();
-    ++cores_[c].life;
+    cores_[c].allocator.reset();
+    ++cores_[c].incarnation;
   }
   void StartCore(size_t c) {
-    cores_[c].lender = std::make_unique<QuotaAllocator>(now_, options_.lent_twice);
+    cores_[c].allocator = std::make_unique<QuotaAllocator>(now_, options_.forgets_grants);
     std::vector<std::string> holders;
     if (options_.records_expire) {
       ReadRecords(c);
     } else if (!options_.forgets_holders) {
       for (size_t g = 0; g < gateways_.size(); ++g) holders.push_back(Name(g));
-      cores_[c].lender->OnLeaseHolders(holders);
+      cores_[c].allocator->OnLeaseHolders(holders);
     }
     cores_[c].up = true;
   }
-  // Another core, at another address, allocates in its place from now on. REQUIRES: it was killed a takeover
-  // delay ago.
+  // A core at another address replaces this one as an allocator from now on. REQUIRES: this one was killed a
+  // takeover delay ago.
   void ReplaceCore(size_t c) {
-    cores_[c].lender = std::make_unique<QuotaAllocator>(now_, false);
-    cores_[c].lender->OnLeaseHolders({});
+    cores_[c].allocator = std::make_unique<QuotaAllocator>(now_, false);
+    cores_[c].allocator->OnLeaseHolders({});
     if (!options_.forgets_retaining)
-      cores_[c].lender->OnPredecessor(now_ + rate_limit::kRetentionTerm - rate_limit::kLeaseTerm);
+      cores_[c].allocator->OnPredecessor(now_ + rate_limit::kRetentionTerm - rate_limit::kLeaseTerm);
     cores_[c].name += "+";
     cores_[c].reported_at.clear();
-    ++cores_[c].life;
+    ++cores_[c].incarnation;
   }
   double now() const { return now_; }
   void KillGateway(size_t g) {
     gateways_[g].pending.clear();
     gateways_[g].admission.reset();
-    ++gateways_[g].boot;
+    ++gateways_[g].incarnation;
   }
   void StartGateway(size_t g) {
     if (gateways_.size() <= g) gateways_.resize(g + 1);
@@ -124,43 +124,43 @@
     gateway.admission->SetGatewayCount(options_.gateways);
     if (gateway.weight == 0) gateway.weight = 1.0 / static_cast<double>(options_.gateways);
   }
-  void Weigh(std::vector<double> weights) {
+  void SetWeights(std::vector<double> weights) {
     for (size_t g = 0; g < weights.size(); ++g) gateways_[g].weight = weights[g];
   }
-  size_t asked = 0, admitted = 0;
-  double Chance() { return std::uniform_real_distribution<double>(0, 1)(dice_); }
-  size_t Pick(size_t n) { return std::uniform_int_distribution<size_t>(0, n - 1)(dice_); }
+  size_t requested = 0, admitted = 0;
+  double Chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  size_t Pick(size_t n) { return std::uniform_int_distribution<size_t>(0, n - 1)(random_); }
 
  private:
   struct Core {
-    std::unique_ptr<QuotaAllocator> lender;
-    uint64_t life = 0;
+    std::unique_ptr<QuotaAllocator> allocator;
+    uint64_t incarnation = 0;
     bool up = true;
     std::string name;
     std::map<size_t, double> reported_at;  // by gateway
   };
   struct Gateway {
     std::unique_ptr<Admission> admission;
-    uint64_t boot = 1, draws = 0;
+    uint64_t incarnation = 1, draws = 0;
     double weight = 0;
     std::deque<double> pending;
   };
   struct Message {
     double at;
     size_t gateway, core;
-    uint64_t boot, life;
+    uint64_t gateway_incarnation, core_incarnation;
     std::optional<messages::UsageReport> report;
-    std::optional<messages::QuotaGrants> loans;
+    std::optional<messages::QuotaGrants> grants;
     bool operator<(const Message& other) const { return at > other.at; }
   };
   void Admitted(Gateway* gateway) {
     ++admitted;
     gateway->admission->OnServed();
-    sent_.push_back(now_);
+    admitted_at_.push_back(now_);
   }
   static std::string Name(size_t g) { return "g" + std::to_string(g); }
   static std::string CoreName(size_t c) { return "c" + std::to_string(c); }
-  // What QuotaLeases has on the majority's disks.
+  // Passes on the holders that QuotaLeases would have recorded durably.
   void ReadRecords(size_t c) {
     std::vector<std::string> holders, retaining;
     for (const auto& [g, at] : cores_[c].reported_at) {
@@ -171,32 +171,38 @@
         retaining.push_back(Name(g));
       }
     }
-    cores_[c].lender->OnLeaseHolders(holders, retaining);
+    cores_[c].allocator->OnLeaseHolders(holders, retaining);
   }
-  bool Joined(size_t g, size_t c) const {
-    return cores_[c].lender && gateways_[g].admission && !gateway_cut_[g][c];
+  bool Connected(size_t g, size_t c) const {
+    return cores_[c].allocator && gateways_[g].admission && !gateway_cut_[g][c];
   }
   void Report(size_t g, size_t c, size_t allocators, bool all, bool draw) {
     messages::UsageReport report =
         gateways_[g].admission->BuildReport(now_, cores_[c].name, allocators, all, draw);
     if (all || !report.tenants.empty())
-      Send({now_ + 0.001 + 0.002 * Chance(), g, c, gateways_[g].boot, cores_[c].life, report, {}});
+      Send({now_ + 0.001 + 0.002 * Chance(),
+            g,
+            c,
+            gateways_[g].incarnation,
+            cores_[c].incarnation,
+            report,
+            {}});
   }
-  std::vector<size_t> InTouch(size_t g) const {
+  std::vector<size_t> ConnectedCores(size_t g) const {
     std::vector<size_t> out;
     for (size_t c = 0; c < cores_.size(); ++c) {
-      if (Joined(g, c)) out.push_back(c);
+      if (Connected(g, c)) out.push_back(c);
     }
     return out;
   }
   void ReportAll(size_t g) {
-    auto cores = InTouch(g);
+    auto cores = ConnectedCores(g);
     size_t from = gateways_[g].draws++;
     for (size_t i = 0; i < cores.size(); ++i)
       Report(g, cores[i], cores.size(), true, i == from % cores.size());
   }
-  void Draw(size_t g) {
-    auto cores = InTouch(g);
+  void RequestBatch(size_t g) {
+    auto cores = ConnectedCores(g);
     if (!cores.empty()) Report(g, cores[gateways_[g].draws++ % cores.size()], cores.size(), false, true);
   }
   void Send(Message message) { messages_.push(std::move(message)); }
@@ -204,79 +210,88 @@
     while (!messages_.empty() && messages_.top().at <= now_) {
       Message m = messages_.top();
       messages_.pop();
-      if (!Joined(m.gateway, m.core) || gateways_[m.gateway].boot != m.boot || cores_[m.core].life != m.life)
+      if (!Connected(m.gateway, m.core) || gateways_[m.gateway].incarnation != m.gateway_incarnation ||
+          cores_[m.core].incarnation != m.core_incarnation)
         continue;
       if (m.report) {
         cores_[m.core].reported_at[m.gateway] = now_;
-        messages::QuotaGrants loans =
-            cores_[m.core].lender->OnReport(now_, Name(m.gateway), m.boot, *m.report, options_.cores);
-        Send({now_ + 0.001 + 0.002 * Chance(), m.gateway, m.core, m.boot, m.life, {}, loans});
+        messages::QuotaGrants grants = cores_[m.core].allocator->OnReport(
+            now_, Name(m.gateway), m.gateway_incarnation, *m.report, options_.cores);
+        Send({now_ + 0.001 + 0.002 * Chance(),
+              m.gateway,
+              m.core,
+              m.gateway_incarnation,
+              m.core_incarnation,
+              {},
+              grants});
       } else {
         Gateway& gateway = gateways_[m.gateway];
-        gateway.admission->OnGrants(now_, cores_[m.core].name, *m.loans);
+        gateway.admission->OnGrants(now_, cores_[m.core].name, *m.grants);
         for (size_t n = gateway.pending.size(); n > 0; --n) {
           double since = gateway.pending.front();
           gateway.pending.pop_front();
-          rate_limit::AdmissionDecision verdict = gateway.admission->RetryPending(now_, "t");
-          if (verdict.pending) gateway.pending.push_back(since);
-          if (verdict.admitted) Admitted(&gateway);
+          rate_limit::AdmissionDecision decision = gateway.admission->RetryPending(now_, "t");
+          if (decision.pending) gateway.pending.push_back(since);
+          if (decision.admitted) Admitted(&gateway);
         }
-        if (gateway.admission->needs_tokens()) Draw(m.gateway);
+        if (gateway.admission->needs_tokens()) RequestBatch(m.gateway);
       }
     }
   }
-  void Trouble() {
-    double what = Chance();
+  void InjectFault() {
+    double fault = Chance();
     size_t g = Pick(gateways_.size()), c = Pick(cores_.size());
-    if (what < 0.25) {
+    if (fault < 0.25) {
       CutGateway(g, Chance() < 0.6);
-    } else if (what < 0.35) {
+    } else if (fault < 0.35) {
       gateway_cut_[g][c] = !gateway_cut_[g][c];
-    } else if (what < 0.5) {
+    } else if (fault < 0.5) {
       if (gateways_[g].admission) {
         KillGateway(g);
       } else {
         StartGateway(g);
       }
-    } else if (what < 0.6) {
-      if (cores_[c].lender) {
+    } else if (fault < 0.6) {
+      if (cores_[c].allocator) {
         KillCore(c);
       } else {
         StartCore(c);
       }
-    } else if (what < 0.65) {
+    } else if (fault < 0.65) {
       options_.overload = Chance() < 0.5 ? 8 : 1;
     }
   }
 
   Options options_;
-  std::mt19937_64 dice_;
+  std::mt19937_64 random_;
   config_model::Tenant tenant_;
   std::vector<Core> cores_;
   std::vector<Gateway> gateways_;
   std::vector<std::vector<bool>> gateway_cut_;
   std::priority_queue<Message> messages_;
-  std::deque<double> sent_;
+  std::deque<double> admitted_at_;
   double now_ = 0;
 };
 
-void Fine(const std::string& broken) {
+void CheckNotBroken(const std::string& broken) {
   if (!broken.empty()) FAIL(broken.c_str());
 }
 
-// Counts the requests that come from here on.
+// Measures the admitted fraction of the requests from its construction on.
 class AdmittedShare {
  public:
-  explicit AdmittedShare(const World& world)
-      : world_(world), asked_before_(world.asked), admitted_before_(world.admitted) {}
+  explicit AdmittedShare(const Simulation& simulation)
+      : simulation_(simulation),
+        requested_before_(simulation.requested),
+        admitted_before_(simulation.admitted) {}
   double Get() const {
-    return static_cast<double>(world_.admitted - admitted_before_) /
-           static_cast<double>(world_.asked - asked_before_);
+    return static_cast<double>(simulation_.admitted - admitted_before_) /
+           static_cast<double>(simulation_.requested - requested_before_);
   }
 
  private:
-  const World& world_;
-  const size_t asked_before_, admitted_before_;
+  const Simulation& simulation_;
+  const size_t requested_before_, admitted_before_;
 };
 
 }  // namespace
@@ -287,9 +302,9 @@
   return static_cast<double>(time.tv_sec) + 1e-9 * static_cast<double>(time.tv_nsec);
 }
 
-// Processor time of one core for a report of 60 tenants beside so many gateways, in s: the least of some
-// rounds.
-double CostOfAReport(size_t gateways) {
+// Processor time in seconds that a core takes for a report of 60 tenants among this many gateways: the
+// minimum of several rounds.
+double ProcessorTimePerReport(size_t gateways) {
   QuotaAllocator core(0, true);
   messages::UsageReport report;
   for (int tenant = 0; tenant < 60; ++tenant) {
@@ -302,24 +317,24 @@
   }
   double least = 1;
   for (int round = 1; round <= 6; ++round) {
-    double begun = ProcessorTime();
+    double start = ProcessorTime();
     for (size_t gateway = 0; gateway < gateways; ++gateway)
       core.OnReport(round * 0.25, "gateway" + std::to_string(gateway), gateway + 1, report, 3);
-    least = std::min(least, (ProcessorTime() - begun) / static_cast<double>(gateways));
+    least = std::min(least, (ProcessorTime() - start) / static_cast<double>(gateways));
   }
   return least;
 }
 
 TEST_GROUP(Limits){};
 
-// Guards against: cores that are busy with the reports of hundreds of gateways lose contact with each other,
-// and everything is refused, changes come late and heartbeats fail.
+// Cores that are overloaded by the reports of hundreds of gateways lose contact with each other; then all
+// requests are rejected, changes are delayed and heartbeats fail.
 TEST(Limits, AReportCostsNoMoreBesideTenTimesAsManyGateways) {
-  double few = CostOfAReport(30);
-  CHECK_TRUE(CostOfAReport(300) < 3 * few);
+  double few = ProcessorTimePerReport(30);
+  CHECK_TRUE(ProcessorTimePerReport(300) < 3 * few);
 }
 
-// Guards against: a sum of leases that is kept, and lacks what was granted since it was worked out in full.
+// Guards against a cached sum of leases that omits the grants made since it was last recomputed.
 TEST(Limits, GrantsOfOneMomentFitBesideEachOther) {
   QuotaAllocator core(0, true);
   messages::UsageReport report;
@@ -336,54 +351,55 @@
   CHECK_TRUE(granted > 0.9 * rate_limit::kLeasedRateShare / 3);
 }
 
-TEST(Limits, HoldOverAllGatewaysWhateverIsCutKilledOrStartedAnew) {
+TEST(Limits, HoldOverAllGatewaysUnderPartitionsAndRestarts) {
   for (uint64_t seed = 1; seed <= 60; ++seed) {
     Options options;
     options.faults = true;
     options.overload = seed % 2 ? 8 : 1;
     options.rate = options.burst = seed % 3 == 0 ? 8 : seed % 3 == 1 ? 40 : 120;
-    World world(seed, options);
-    std::string broken = world.Run(40);
+    Simulation simulation(seed, options);
+    std::string broken = simulation.Run(40);
     if (!broken.empty()) FAIL(("seed " + std::to_string(seed) + " " + broken).c_str());
   }
 }
 
-TEST(Limits, AShareThatIsLentTwiceIsFound) {
+TEST(Limits, AShareThatIsGrantedTwiceIsDetected) {
   bool found = false;
   for (uint64_t seed = 1; seed <= 20 && !found; ++seed) {
     Options options;
     options.overload = 8;
     options.rate = options.burst = 120;
-    options.lent_twice = true;  // a core that starts anew lends as if nothing were out
-    World world(seed, options);
-    Fine(world.Run(8));
-    for (size_t g = 0; g < 5; ++g) world.CutGateway(g, true);
-    for (size_t c = 0; c < 3; ++c) world.KillCore(c), world.StartCore(c);
-    found = !world.Run(16).empty();
+    options.forgets_grants = true;  // a restarted core allocates as if it had granted nothing
+    Simulation simulation(seed, options);
+    CheckNotBroken(simulation.Run(8));
+    for (size_t g = 0; g < 5; ++g) simulation.CutGateway(g, true);
+    for (size_t c = 0; c < 3; ++c) simulation.KillCore(c), simulation.StartCore(c);
+    found = !simulation.Run(16).empty();
   }
   CHECK(found);
 }
 
-TEST(Limits, ACoreThatStartsAnewLendsOnWhatIsShownAndNothingElse) {
+TEST(Limits, ARestartedCoreRenewsOnlyReportedShares) {
   Options options;
   options.overload = 8;
   options.rate = options.burst = 120;
-  World world(3, options);
-  Fine(world.Run(8));
-  for (size_t g = 0; g < 5; ++g) world.CutGateway(g, true);
-  for (size_t c = 0; c < 3; ++c) world.KillCore(c), world.StartCore(c);
-  Fine(world.Run(30));
+  Simulation simulation(3, options);
+  CheckNotBroken(simulation.Run(8));
+  for (size_t g = 0; g < 5; ++g) simulation.CutGateway(g, true);
+  for (size_t c = 0; c < 3; ++c) simulation.KillCore(c), simulation.StartCore(c);
+  CheckNotBroken(simulation.Run(30));
 }
 
-TEST(Limits, ATenantWithinItsLimitIsHardlyRefused) {
+TEST(Limits, ATenantWithinItsLimitIsRarelyRejected) {
   for (double rate : {8.0, 40.0, 120.0}) {
     Options options;
     options.rate = options.burst = rate;
-    World world(7, options);
-    Fine(world.Run(40));
-    // Some 2 in 100 for small tenants, whose requests come one by one at eleven gateways.
-    double most = rate < 10 ? 0.05 : 0.015;
-    CHECK(static_cast<double>(world.admitted) >= (1 - most) * static_cast<double>(world.asked));
+    Simulation simulation(7, options);
+    CheckNotBroken(simulation.Run(40));
+    // About 2 % for small tenants, whose requests arrive one at a time at eleven gateways.
+    double max_rejected = rate < 10 ? 0.05 : 0.015;
+    CHECK(static_cast<double>(simulation.admitted) >=
+          (1 - max_rejected) * static_cast<double>(simulation.requested));
   }
 }
 
@@ -392,97 +408,97 @@
   options.gateways = 85;
   options.cores = 4;
   options.rate = options.burst = 20;
-  World world(5, options);
-  Fine(world.Run(40));
-  CHECK(static_cast<double>(world.admitted) >= 0.95 * static_cast<double>(world.asked));
+  Simulation simulation(5, options);
+  CheckNotBroken(simulation.Run(40));
+  CHECK(static_cast<double>(simulation.admitted) >= 0.95 * static_cast<double>(simulation.requested));
 }
 
-TEST(Limits, UnevenShareOfClientsIsFollowed) {
+TEST(Limits, SharesFollowAnUnevenDistributionOfClients) {
   Options options;
-  World world(9, options);
-  world.Weigh({0.5, 0.3, 0.1, 0.05, 0.05, 0, 0, 0, 0, 0, 0});
-  Fine(world.Run(30));
-  CHECK(world.admitted >= 0.98 * static_cast<double>(world.asked));
+  Simulation simulation(9, options);
+  simulation.SetWeights({0.5, 0.3, 0.1, 0.05, 0.05, 0, 0, 0, 0, 0, 0});
+  CheckNotBroken(simulation.Run(30));
+  CHECK(simulation.admitted >= 0.98 * static_cast<double>(simulation.requested));
 }
 
-TEST(Limits, AGatewayThatIsCutOffGoesOnWithWhatItWasLent) {
+TEST(Limits, AnIsolatedGatewayContinuesWithItsGrants) {
   Options options;
-  World world(11, options);
-  Fine(world.Run(10));
-  AdmittedShare share(world);
-  for (size_t g = 0; g < 3; ++g) world.CutGateway(g, true);
-  Fine(world.Run(20));
+  Simulation simulation(11, options);
+  CheckNotBroken(simulation.Run(10));
+  AdmittedShare share(simulation);
+  for (size_t g = 0; g < 3; ++g) simulation.CutGateway(g, true);
+  CheckNotBroken(simulation.Run(20));
   CHECK(share.Get() >= 0.93);
 }
 
 TEST(Limits, AllCoresGoneForTwoSecondsRefusesFew) {
   Options options;
-  World world(13, options);
-  Fine(world.Run(10));
-  AdmittedShare share(world);
-  for (size_t c = 0; c < 3; ++c) world.KillCore(c);
-  Fine(world.Run(12));
-  for (size_t c = 0; c < 3; ++c) world.StartCore(c);
-  Fine(world.Run(16));
+  Simulation simulation(13, options);
+  CheckNotBroken(simulation.Run(10));
+  AdmittedShare share(simulation);
+  for (size_t c = 0; c < 3; ++c) simulation.KillCore(c);
+  CheckNotBroken(simulation.Run(12));
+  for (size_t c = 0; c < 3; ++c) simulation.StartCore(c);
+  CheckNotBroken(simulation.Run(16));
   CHECK(share.Get() >= 0.9);
 }
 
-// The core has no majority for longer than a lease term: gateways go on with what they retain, and the way
-// back passes no limit.
+// The cores have no majority for longer than a lease term: gateways continue with their retained shares, and
+// recovery does not exceed the limit.
 TEST(Limits, AllCoresGoneForThirtySecondsRefuseAFifthAtMost) {
   Options options;
-  World world(13, options);
-  Fine(world.Run(10));
-  AdmittedShare without_cores(world);
-  for (size_t c = 0; c < 3; ++c) world.KillCore(c);
-  Fine(world.Run(40));
+  Simulation simulation(13, options);
+  CheckNotBroken(simulation.Run(10));
+  AdmittedShare without_cores(simulation);
+  for (size_t c = 0; c < 3; ++c) simulation.KillCore(c);
+  CheckNotBroken(simulation.Run(40));
   CHECK(without_cores.Get() >= 0.8);
-  for (size_t c = 0; c < 3; ++c) world.StartCore(c);
-  Fine(world.Run(42));
-  AdmittedShare after(world);
-  Fine(world.Run(60));
+  for (size_t c = 0; c < 3; ++c) simulation.StartCore(c);
+  CheckNotBroken(simulation.Run(42));
+  AdmittedShare after(simulation);
+  CheckNotBroken(simulation.Run(60));
   CHECK(after.Get() >= 0.98);
 }
 
 TEST(Limits, NothingIsRetainedAfterItsTerm) {
   Options options;
-  World world(17, options);
-  Fine(world.Run(10));
-  for (size_t c = 0; c < 3; ++c) world.KillCore(c);
-  Fine(world.Run(10 + rate_limit::kRetentionTerm + 3));
-  AdmittedShare share(world);
-  Fine(world.Run(world.now() + 10));
+  Simulation simulation(17, options);
+  CheckNotBroken(simulation.Run(10));
+  for (size_t c = 0; c < 3; ++c) simulation.KillCore(c);
+  CheckNotBroken(simulation.Run(10 + rate_limit::kRetentionTerm + 3));
+  AdmittedShare share(simulation);
+  CheckNotBroken(simulation.Run(simulation.now() + 10));
   CHECK(share.Get() <= 0.05);
 }
 
 namespace {
 
-// Some gateways are cut off with what they were granted. While they retain it, cores start anew or are
-// replaced, and the others ask for all that they can get.
+// Some gateways are isolated with their grants. While they retain a part of them, cores are restarted or
+// replaced, and the other gateways request as much as they can get.
 std::string PlayRetention(uint64_t seed, bool forgets_retaining) {
   Options options;
   options.overload = 8;
   options.rate = options.burst = seed % 2 ? 120 : 40;
   options.records_expire = true;
   options.forgets_retaining = forgets_retaining;
-  World world(seed, options);
-  std::string broken = world.Run(8);
-  for (size_t g = 0; g < 8; ++g) world.CutGateway(g, true);
+  Simulation simulation(seed, options);
+  std::string broken = simulation.Run(8);
+  for (size_t g = 0; g < 8; ++g) simulation.CutGateway(g, true);
   bool replaced = seed % 3 == 0;
-  for (size_t c = 0; replaced && c < 3; ++c) world.KillCore(c);
-  if (broken.empty()) broken = world.Run(8 + rate_limit::kLeaseTerm + 1.5 + 30 * world.Chance());
+  for (size_t c = 0; replaced && c < 3; ++c) simulation.KillCore(c);
+  if (broken.empty()) broken = simulation.Run(8 + rate_limit::kLeaseTerm + 1.5 + 30 * simulation.Chance());
   for (size_t c = 0; c < 3; ++c) {
     if (replaced) {
-      world.ReplaceCore(c);
+      simulation.ReplaceCore(c);
     } else {
-      world.KillCore(c);
-      world.StartCore(c);
+      simulation.KillCore(c);
+      simulation.StartCore(c);
     }
   }
-  if (broken.empty()) broken = world.Run(world.now() + 20);
-  // Some come back with what they retain; the last stay away until nothing is left.
-  for (size_t g = 0; g < 4; ++g) world.CutGateway(g, false);
-  return broken.empty() ? world.Run(90) : broken;
+  if (broken.empty()) broken = simulation.Run(simulation.now() + 20);
+  // Some reconnect with their retained shares; the others stay isolated until these have expired.
+  for (size_t g = 0; g < 4; ++g) simulation.CutGateway(g, false);
+  return broken.empty() ? simulation.Run(90) : broken;
 }
 
 }  // namespace
@@ -494,8 +510,8 @@
   }
 }
 
-TEST(Limits, ARetainedShareThatIsLentTwiceIsFound) {
-  for (uint64_t first : {1, 3}) {  // cores that start anew, cores that are replaced
+TEST(Limits, ARetainedShareThatIsGrantedTwiceIsDetected) {
+  for (uint64_t first : {1, 3}) {  // restarted cores, replaced cores
     bool found = false;
     for (uint64_t seed = first; seed <= first + 18 && !found; seed += 6)
       found = !PlayRetention(seed, true).empty();
@@ -510,7 +526,7 @@
   for (int i = 0; i < 1000; ++i) CHECK(admission.OnRequest(1.0, tenant).admitted);
 }
 
-TEST(Limits, ARefusalTellsWhenToComeBack) {
+TEST(Limits, ARejectionHasARetryDelay) {
   Admission admission({0.1, 20, 5, 30});
   admission.SetGatewayCount(11);
   config_model::Tenant tenant;
@@ -518,15 +534,15 @@
   tenant.rate_per_s = 10;
   tenant.burst = 10;
   CHECK(admission.OnRequest(1.0, tenant).admitted);
-  rate_limit::AdmissionDecision verdict = admission.OnRequest(1.0, tenant);
-  CHECK(!verdict.admitted);
-  CHECK(verdict.retry_after_s > 0 && verdict.retry_after_s <= 1);
+  rate_limit::AdmissionDecision decision = admission.OnRequest(1.0, tenant);
+  CHECK(!decision.admitted);
+  CHECK(decision.retry_after_s > 0 && decision.retry_after_s <= 1);
   CHECK(admission.needs_tokens());
 }
 
 TEST(Limits, TheCounterCheckRefusesWhatOthersHaveSent) {
-  // One gateway with plenty in its bucket; the counter tells that the others have sent a whole window's
-  // worth.
+  // One gateway with enough tokens in its bucket; the counter shows that the others have used up the whole
+  // window.
   Admission admission({0.1, 20, 5, 30});
   config_model::Tenant tenant;
   tenant.name = "t";
@@ -534,18 +550,18 @@
   tenant.burst = 10;
   admission.OnRequest(1.0, tenant);
   uint64_t total = 0;
-  auto word = [&](double now, uint64_t others) {
+  auto deliver_total = [&](double now, uint64_t others) {
     messages::UsageReport report = admission.BuildReport(now, "c", 1, true, true);
-    messages::QuotaGrants loans;
-    loans.number = report.number;
+    messages::QuotaGrants grants;
+    grants.number = report.number;
     total = others;
-    loans.grants.push_back({"t", 0.6f, 50, total});
-    admission.OnGrants(now + 0.01, "c", loans);
+    grants.grants.push_back({"t", 0.6f, 50, total});
+    admission.OnGrants(now + 0.01, "c", grants);
   };
-  word(1.0, 0);
-  word(1.1, 5);
+  deliver_total(1.0, 0);
+  deliver_total(1.1, 5);
   CHECK(admission.OnRequest(1.2, tenant).admitted);
-  word(1.2, 200);
+  deliver_total(1.2, 200);
   CHECK(!admission.OnRequest(1.3, tenant).admitted);
   CHECK(admission.counters().rejected_by_counter > 0);
 }
--- a/tests/system/planted_mistakes.cmake
+++ b/tests/system/planted_mistakes.cmake
@@ -1,5 +1,5 @@
-# Mistakes that tests must find: a copy of one source with one piece of text exchanged is linked with the tests' own objects,
-# ahead of the library that has the right one. Each passes if the named invariant is told to be broken.
+# Mistakes that tests must detect: a copy of one source with one piece of text replaced is linked with the tests' objects,
+# ahead of the library with the correct source. Each passes if the test reports the named invariant as broken.
 
 function(planted_mistake name)
   cmake_parse_arguments(PLANTED "" "SOURCE;FROM;TO;OBJECTS;RUN;LIBRARY;TOLD" "" ${ARGN})
@@ -41,7 +41,7 @@
   FROM "if (event.bytes_written)" TO "if (event.bytes_written && request->idempotent)"
   TOLD "broken: (twice|refused)")
 planted_in_lifecycle(refusal_of_a_stranger_believed SOURCE system/decisions/request_lifecycle/answer_classification.cpp RUN TwoRequestsThatMayRunOnce
-  FROM "if (!answer.sole_request) return Distrusted(Evidence::kUnprovenRejection)" TO ""
+  FROM "if (!answer.sole_request) return Untrusted(Evidence::kUnprovenRejection)" TO ""
   TOLD "broken: (twice|refused)")
 planted_in_lifecycle(promise_for_what_may_have_run SOURCE system/decisions/request_lifecycle/lifecycle.cpp RUN TwoRequestsThatMayRunOnce
   FROM "    if (std::optional<NotDone> proof = request->record.NothingDone())"
@@ -54,7 +54,7 @@
   FROM "return request.idempotent || request.record.NothingDone().has_value()" TO "return true"
   TOLD "broken: twice")
 planted_in_lifecycle(budget_ignored SOURCE system/decisions/request_lifecycle/lifecycle.cpp RUN TwoThatMayBeRepeated
-  FROM "return !further_arrival || policy_->MayRetry(now, request.service)" TO "return further_arrival || !further_arrival"
+  FROM "return !is_retry || policy_->MayRetry(now, request.service)" TO "return is_retry || !is_retry"
   TOLD "broken: budget")
 planted_in_lifecycle(deadline_after_the_answer_has_begun SOURCE system/decisions/request_lifecycle/lifecycle.cpp RUN TwoRequestsThatMayRunOnce
   FROM "if (!request || request->phase == Phase::kStreaming) {" TO "if (!request) {"
@@ -62,7 +62,7 @@
 
 planted_mistake(answer_to_an_earlier_life SOURCE system/decisions/call_routing/pending_calls.cpp
   OBJECTS system_pending_calls_tests_objects LIBRARY system_call_routing RUN EveryAnswerReachesTheCallerOfItsCallOrNobody
-  FROM "static_cast<CallNumber>(incarnation_) << kIncarnationShift | ++last_" TO "++last_"
+  FROM "static_cast<CallNumber>(incarnation_) << kIncarnationShift | ++last_number_" TO "++last_number_"
   TOLD "broken: ")
 function(planted_in_links name)
   planted_mistake(${name} SOURCE src/net/backend_links.cpp OBJECTS system_backend_links_tests_objects LIBRARY ivygw_net ${ARGN})
@@ -89,7 +89,7 @@
   FROM "reader_.unread() == 0 && !eof_ && !sending_" TO "!eof_ && !sending_"
   TOLD "broken: doubt")
 planted_on_the_wire(wire_refusal_of_a_stranger_believed SOURCE system/decisions/request_lifecycle/answer_classification.cpp
-  FROM "if (!answer.sole_request) return Distrusted(Evidence::kUnprovenRejection)" TO ""
+  FROM "if (!answer.sole_request) return Untrusted(Evidence::kUnprovenRejection)" TO ""
   TOLD "broken: (twice|refused)")
 planted_on_the_wire(wire_retry_of_what_may_run_only_once SOURCE system/decisions/request_lifecycle/lifecycle.cpp
   FROM "return request.idempotent || request.record.NothingDone().has_value()" TO "return true"
@@ -123,7 +123,7 @@
 
 planted_mistake(granted_share_not_counted OBJECTS system_limits_tests_objects LIBRARY system_rate_limit
   SOURCE system/decisions/rate_limit/quota_allocator.cpp RUN GrantsOfOneMomentFitBesideEachOther
-  FROM "    Count(now, &tenant, &lease);" TO ""
+  FROM "    UpdateCountedShare(now, &tenant, &lease);" TO ""
   TOLD "more is granted than can be leased")
 
 # The store without what a refused act asks of it: a sound store is lost.
--- a/tests/system/proxy_wire_test.cpp
+++ b/tests/system/proxy_wire_test.cpp
@@ -419,7 +419,7 @@
       config_model::ReadChange(kConfiguration, &read);
       return read;
     }();
-    for (const auto& item : change.items) routes.Fold(item);
+    for (const auto& item : change.items) routes.ApplyItem(item);
     for (size_t i = 0; i < addresses.size(); ++i) {
       discovery::Backend backend;
       backend.service = "s";
--- a/tests/system/request_lifecycle_test.cpp
+++ b/tests/system/request_lifecycle_test.cpp
@@ -1,5 +1,5 @@
-// The state machine of requests, case by case: what each kind of evidence proves, and what becomes of a
-// request by it. The search over all orders of events is lifecycle_search_test.cpp.
+// Cases of the request state machine: what each kind of evidence proves and how the request continues.
+// lifecycle_search_test.cpp searches all orders of events.
 
 #include <map>
 #include <set>
@@ -9,7 +9,7 @@
 #include "request_lifecycle/lifecycle.h"
 
 // clang-format off
-#include <CppUTest/TestHarness.h>  // after all others: it names new anew
+#include <CppUTest/TestHarness.h>  // last, because it redefines operator new
 // clang-format on
 
 using namespace ivygw;
@@ -18,7 +18,7 @@
 
 namespace {
 
-// Backends b1, b2, ... in turn, a budget that is open or closed.
+// Chooses backends b1, b2, ... in order; the budget allows all retries or none.
 class FixedPolicy : public BackendPolicy {
  public:
   std::string Choose(double, const std::string&, const std::set<std::string>& tried) override {
@@ -28,15 +28,15 @@
     }
     return {};
   }
-  void OnAttemptStarted(const std::string&) override { ++out; }
-  void OnAttemptEnded(double, const std::string&, AttemptResult) override { --out; }
+  void OnAttemptStarted(const std::string&) override { ++active_attempts; }
+  void OnAttemptEnded(double, const std::string&, AttemptResult) override { --active_attempts; }
   bool MayRetry(double, const std::string&) override { return budget; }
   void OnRetry(double, const std::string&) override { ++retries; }
-  bool IsDrained(const std::string& backend) override { return unwanted.count(backend) > 0; }
+  bool IsDrained(const std::string& backend) override { return drained.count(backend) > 0; }
 
   bool budget = true;
-  int out = 0, retries = 0;
-  std::set<std::string> unwanted;
+  int active_attempts = 0, retries = 0;
+  std::set<std::string> drained;
 };
 
 BackendReply OwnReply(int status, bool not_executed = false) {
@@ -57,7 +57,7 @@
   return nullptr;
 }
 
-// One client's request and the connection that it waits on.
+// A lifecycle with the latest request and its connection.
 struct Fixture {
   FixedPolicy policy;
   Lifecycle lifecycle{&policy};
@@ -68,7 +68,7 @@
   uint64_t clients = 0;
 
   template <typename Event>
-  void Tell(Event event, double now = 0) {
+  void Handle(Event event, double now = 0) {
     effects.clear();
     lifecycle.On(now, std::move(event), &effects);
     if (const auto* open = FindEffect<OpenConnection>(effects)) {
@@ -79,16 +79,16 @@
   }
   void Admit(bool idempotent, int max_attempts, double now = 0) {
     request = lifecycle.StartRequest(ClientId{++clients});
-    Tell(RequestAdmitted{request, "own", "s", idempotent, max_attempts, now + 100}, now);
+    Handle(RequestAdmitted{request, "own", "s", idempotent, max_attempts, now + 100}, now);
   }
   void AdmitAndSend(bool idempotent, int max_attempts) {
     Admit(idempotent, max_attempts);
-    Tell(ConnectionOpened{connection});
+    Handle(ConnectionOpened{connection});
   }
-  // Served once, so that the connection is a kept one.
+  // Serves a request, so that the connection is kept for reuse.
   void ServeOne() {
     AdmitAndSend(false, 2);
-    Tell(AnswerReceived{connection, OwnReply(200)});
+    Handle(AnswerReceived{connection, OwnReply(200)});
   }
   int OwnStatus() const {
     if (const auto* reply = FindEffect<ReplyNotRun>(effects)) return reply->status;
@@ -122,25 +122,26 @@
 
 TEST_GROUP(Answers){};
 
-TEST(Answers, OnlyTheBackendsOwnWordPromisesThatNothingRan) {
+TEST(Answers, OnlyTheBackendItselfProvesThatNothingRan) {
   CHECK(ProvesNotDone(Facts(503, true, true, true, false, false)));
   CHECK(ClassifyAnswer(Facts(421, true, true, false, false, false)).result == AttemptResult::kMisdirected);
-  CHECK(ProvesNotDone(Facts(400, false, false, true, false, false)));  // it has read no id
-  CHECK(MayHaveRun(Facts(503, false, true, true, false, false)));      // of another request
-  // A promise that the backend does not give is not passed on.
+  CHECK(ProvesNotDone(Facts(400, false, false, true, false, false)));  // rejected before reading the id
+  CHECK(MayHaveRun(Facts(503, false, true, true, false, false)));      // belongs to another request
+  // A status that promises "not run" is not passed on if the backend did not prove it.
   for (unsigned status : {503u, 429u, 408u}) {
     CHECK(MayHaveRun(Facts(status, true, true, false, true, false)));
     CHECK(!ClassifyAnswer(Facts(status, true, true, false, true, false)).forwardable);
   }
   CHECK(ClassifyAnswer(Facts(200, true, true, false, true, false)).forwardable);
-  CHECK(!ClassifyAnswer(Facts(200, true, true, false, false, false)).trusted);  // without its seal
-  CHECK(!ClassifyAnswer(Facts(200, true, true, false, true, true)).trusted);    // encoded: not its body
+  CHECK(!ClassifyAnswer(Facts(200, true, true, false, false, false)).trusted);  // not sealed
+  CHECK(!ClassifyAnswer(Facts(200, true, true, false, true, true))
+             .trusted);  // encoded, so not the original body
   CHECK(!ClassifyAnswer(Facts(200, false, true, false, true, false)).trusted);  // another request's
   CHECK(!ClassifyAnswer(Facts(200, false, false, false, true, false)).trusted);
   CHECK(ClassifyAnswer(Facts(500, true, true, false, true, false)).forwardable);
 }
 
-TEST(Answers, ARefusalWithoutAnIdIsBelievedOnlyWhereNoOtherRequestCanBeMeant) {
+TEST(Answers, ARejectionWithoutAnIdIsTrustedOnlyOnAConnectionWithASingleRequest) {
   for (unsigned status : {421u, 503u, 400u}) {
     CHECK(ProvesNotDone(Facts(status, false, false, true, false, false, true)));
     CHECK(MayHaveRun(Facts(status, false, false, true, false, false, false)));
@@ -151,23 +152,23 @@
 
 TEST_GROUP(Lifecycles){};
 
-TEST(Lifecycles, WhatMayHaveRunIsNeverSentAgainUnlessItMayBe) {
-  // Every course of up to four ends: a request that isn't repeatable is never sent again after one that may
-  // have run, and no refusal promises what isn't so.
+TEST(Lifecycles, OnlyIdempotentRequestsAreRetriedAfterTheyMayHaveRun) {
+  // All sequences of up to four attempt results: a request that is not idempotent is never sent again after
+  // an attempt that may have run, and no answer claims that it has not run then.
   for (int bits = 0; bits < 256; ++bits) {
     for (bool idempotent : {false, true}) {
-      for (int most = 1; most <= 3; ++most) {
+      for (int max_attempts = 1; max_attempts <= 3; ++max_attempts) {
         Fixture f;
-        f.Admit(idempotent, most);
+        f.Admit(idempotent, max_attempts);
         bool may_have_run = false;
         int arrived = 0;
         for (int i = 0; i < 4; ++i) {
           int end = bits >> (2 * i) & 3;
-          if (end != 0) f.Tell(ConnectionOpened{f.connection});
-          if (end == 0) f.Tell(ConnectionLost{f.connection, false});
-          if (end == 1) f.Tell(AnswerReceived{f.connection, OwnReply(503, true)});
-          if (end == 2) f.Tell(AnswerReceived{f.connection, OwnReply(200)});
-          if (end == 3) f.Tell(ConnectionLost{f.connection, true});
+          if (end != 0) f.Handle(ConnectionOpened{f.connection});
+          if (end == 0) f.Handle(ConnectionLost{f.connection, false});
+          if (end == 1) f.Handle(AnswerReceived{f.connection, OwnReply(503, true)});
+          if (end == 2) f.Handle(AnswerReceived{f.connection, OwnReply(200)});
+          if (end == 3) f.Handle(ConnectionLost{f.connection, true});
           if (end == 2) {
             CHECK(FindEffect<ForwardAnswer>(f.effects) != nullptr);
             break;
@@ -178,9 +179,9 @@
           if (FindEffect<ReplyUnknown>(f.effects)) CHECK(may_have_run);
           if (!f.Retried()) break;
           CHECK(idempotent || !may_have_run);
-          CHECK(arrived < most);
+          CHECK(arrived < max_attempts);
         }
-        CHECK_EQUAL(f.lifecycle.requests().empty() ? 0 : 1, f.policy.out);
+        CHECK_EQUAL(f.lifecycle.requests().empty() ? 0 : 1, f.policy.active_attempts);
       }
     }
   }
@@ -189,112 +190,112 @@
 TEST(Lifecycles, AStaleConnectionIsReplacedAtTheSameBackend) {
   Fixture f;
   f.ServeOne();
-  ConnectionId kept = f.connection;
+  ConnectionId reused = f.connection;
   f.Admit(false, 2);
   CHECK(FindEffect<SendRequest>(f.effects) != nullptr);
-  CHECK(f.connection == kept);
-  f.Tell(ConnectionStale{kept});
+  CHECK(f.connection == reused);
+  f.Handle(ConnectionStale{reused});
   const auto* open = FindEffect<OpenConnection>(f.effects);
   CHECK(open != nullptr);
   STRCMP_EQUAL("b1", open->backend.c_str());
-  CHECK_EQUAL(0, f.policy.retries);  // it has arrived nowhere
+  CHECK_EQUAL(0, f.policy.retries);  // the request has not arrived anywhere
 }
 
-TEST(Lifecycles, NothingWrittenIsNotDoneAndAByteWrittenMayBe) {
-  for (bool kept : {false, true}) {
+TEST(Lifecycles, ARequestMayHaveRunOnceAByteIsWritten) {
+  for (bool reused : {false, true}) {
     for (bool bytes_written : {false, true}) {
       Fixture f;
-      if (kept) f.ServeOne();
-      kept ? f.Admit(false, 2) : f.AdmitAndSend(false, 2);
-      f.Tell(ConnectionLost{f.connection, bytes_written});
+      if (reused) f.ServeOne();
+      reused ? f.Admit(false, 2) : f.AdmitAndSend(false, 2);
+      f.Handle(ConnectionLost{f.connection, bytes_written});
       CHECK_EQUAL(!bytes_written, f.Retried());
       CHECK_EQUAL(bytes_written ? 502 : 0, f.OwnStatus());
     }
   }
 }
 
-TEST(Lifecycles, ADeadlineTellsWhetherTheRequestMayRun) {
+TEST(Lifecycles, AnAnswerAtTheDeadlineShowsWhetherTheRequestMayHaveRun) {
   Fixture connecting, sent;
   connecting.Admit(false, 2);
-  connecting.Tell(DeadlineReached{connecting.request});
+  connecting.Handle(DeadlineReached{connecting.request});
   CHECK_EQUAL(503, connecting.OwnStatus());
   sent.AdmitAndSend(false, 2);
-  sent.Tell(DeadlineReached{sent.request});
+  sent.Handle(DeadlineReached{sent.request});
   CHECK_EQUAL(504, sent.OwnStatus());
   CHECK(FindEffect<CloseConnection>(sent.effects) != nullptr);
 }
 
-TEST(Lifecycles, EventsOfWhatHasEndedAreDroppedAndCounted) {
+TEST(Lifecycles, StaleEventsAreIgnoredAndCounted) {
   Fixture f;
   f.ServeOne();
   ConnectionId closed = f.connection;
   RequestId answered = f.request;
   AttemptId attempt = f.attempt;
-  f.Tell(ConnectionLost{closed, true});  // while idle
+  f.Handle(ConnectionLost{closed, true});  // while idle
   f.AdmitAndSend(true, 2);
   uint64_t before = f.lifecycle.counters().stale_events;
-  f.Tell(AnswerReceived{closed, OwnReply(200)});
+  f.Handle(AnswerReceived{closed, OwnReply(200)});
   CHECK(f.effects.empty());
-  f.Tell(ConnectTimedOut{f.connection, attempt});
+  f.Handle(ConnectTimedOut{f.connection, attempt});
   CHECK(f.effects.empty());
-  f.Tell(ConnectTimedOut{f.connection, f.attempt});  // it has been established since
+  f.Handle(ConnectTimedOut{f.connection, f.attempt});  // already established
   CHECK(f.effects.empty());
-  f.Tell(DeadlineReached{answered});
+  f.Handle(DeadlineReached{answered});
   CHECK(f.effects.empty());
-  f.Tell(ClientClosed{ClientId{1}});
+  f.Handle(ClientClosed{ClientId{1}});
   CHECK(f.effects.empty());
   CHECK_EQUAL(before + 5, f.lifecycle.counters().stale_events);
 }
 
-TEST(Lifecycles, WithoutABudgetNothingArrivesTwiceAndWhatDidNotArriveMayGoOn) {
+TEST(Lifecycles, WithoutABudgetOnlyUnsentAttemptsAreRetried) {
   Fixture f;
   f.policy.budget = false;
   f.AdmitAndSend(true, 3);
-  f.Tell(ConnectionLost{f.connection, true});
+  f.Handle(ConnectionLost{f.connection, true});
   CHECK(!f.Retried());
   f.Admit(true, 3);
-  f.Tell(ConnectionLost{f.connection, false});
+  f.Handle(ConnectionLost{f.connection, false});
   CHECK(f.Retried());
 }
 
 TEST(Lifecycles, AStreamedAnswerIsFinishedOrAborted) {
   Fixture f;
   f.AdmitAndSend(false, 2);
-  f.Tell(AnswerStarted{f.connection, OwnReply(200)});
+  f.Handle(AnswerStarted{f.connection, OwnReply(200)});
   CHECK(FindEffect<ForwardStart>(f.effects) != nullptr);
-  f.Tell(DeadlineReached{f.request});
+  f.Handle(DeadlineReached{f.request});
   CHECK(f.effects.empty());
-  f.Tell(ClientDrained{ClientId{f.clients}});
+  f.Handle(ClientDrained{ClientId{f.clients}});
   CHECK(FindEffect<ReadAnswerPart>(f.effects) != nullptr);
-  f.Tell(ConnectionLost{f.connection, true});
+  f.Handle(ConnectionLost{f.connection, true});
   CHECK(FindEffect<AbortReply>(f.effects) != nullptr);
   CHECK(FindEffect<ReplyUnknown>(f.effects) == nullptr);
 }
 
-TEST(Lifecycles, AClientThatGoesFreesWhatMayBeRepeatedAndLeavesTheRestToItsEnd) {
+TEST(Lifecycles, AfterItsClientLeavesOnlyANonIdempotentRequestContinues) {
   for (bool idempotent : {false, true}) {
     Fixture f;
     f.AdmitAndSend(idempotent, 2);
-    f.Tell(ClientClosed{ClientId{f.clients}});
+    f.Handle(ClientClosed{ClientId{f.clients}});
     CHECK_EQUAL(idempotent, FindEffect<CloseConnection>(f.effects) != nullptr);
     if (idempotent) continue;
-    f.Tell(AnswerReceived{f.connection, OwnReply(200)});
+    f.Handle(AnswerReceived{f.connection, OwnReply(200)});
     CHECK(FindEffect<ForwardAnswer>(f.effects) == nullptr);
     CHECK(f.lifecycle.requests().empty());
   }
 }
 
-TEST(Lifecycles, IdleConnectionsAreClosedWhenTheyHaveRestedOrTheirBackendIsUnwanted) {
+TEST(Lifecycles, IdleConnectionsAreClosedAfterTheIdleTimeOrWhenTheirBackendIsDrained) {
   Fixture f;
   f.ServeOne();
-  f.Tell(IdleSweep{}, 1);
+  f.Handle(IdleSweep{}, 1);
   CHECK(f.effects.empty());
-  f.policy.unwanted.insert("b1");
-  f.Tell(IdleSweep{}, 1);
+  f.policy.drained.insert("b1");
+  f.Handle(IdleSweep{}, 1);
   CHECK(FindEffect<CloseConnection>(f.effects) != nullptr);
-  f.policy.unwanted.clear();
+  f.policy.drained.clear();
   f.ServeOne();
-  f.Admit(false, 2, 50);  // rested too long
+  f.Admit(false, 2, 50);  // idle for too long
   CHECK(FindEffect<CloseConnection>(f.effects) != nullptr);
   CHECK(FindEffect<OpenConnection>(f.effects) != nullptr);
 }
