--- /dev/null
+++ b/src/core/stats.h
@@ -0,0 +1,28 @@
+// Counters of what the gateway has done since its start. Does no I/O.
+#ifndef IVYGW_CORE_STATS_H_
+#define IVYGW_CORE_STATS_H_
+
+#include <cstdint>
+#include <vector>
+
+namespace ivygw::core {
+
+// Answered requests of one class: served, refused, and all others.
+struct ClassStats {
+  uint64_t success = 0, busy = 0, failure = 0;
+};
+
+struct Stats {
+  std::vector<ClassStats> classes;  // in the order of the settings
+  uint64_t backend_calls = 0;       // attempts whose last byte was written
+
+  // Counts a final response. Requests that their client abandoned are not counted.
+  void CountResponse(int cls, int status) {
+    ClassStats& c = classes.at(static_cast<size_t>(cls));
+    ++(status == 200 ? c.success : status == 429 || status == 503 ? c.busy : c.failure);
+  }
+};
+
+}  // namespace ivygw::core
+
+#endif  // IVYGW_CORE_STATS_H_
--- a/tests/golden/stored_formats_test.cpp
+++ b/tests/golden/stored_formats_test.cpp
@@ -11,7 +11,7 @@
 #include "ledger/book.h"
 #include "ledger/record.h"
 #include "membership/member.h"
-#include "parts/lending.h"
+#include "parts/share_lease.h"
 #include "rig/golden.h"
 #include "shared/redis_engine.h"
 #include "shared/sqlite_store.h"
@@ -50,12 +50,16 @@
 }
 
 TEST_F(GoldenForms, LearnedFile) {
-  micadock::Learned learned{
-      .backends = {{.id = 7, .speed = 1.25, .pace = 0.125, .limit = 12, .fails = 0.5, .cold_since = 995.5}},
-      .work = {0.75, 0.0625},
-      .units = {2, 3},
-      .let_in = 0.875,
-      .warm_work = 1.75};
+  micadock::LearnedState learned{.backends = {{.id = 7,
+                                               .relative_latency = 1.25,
+                                               .latency_ratio = 0.125,
+                                               .limit = 12,
+                                               .failure_rate = 0.5,
+                                               .cold_since = 995.5}},
+                                 .work = {0.75, 0.0625},
+                                 .units = {2, 3},
+                                 .admit_share = 0.875,
+                                 .warm_work = 1.75};
   const std::string text =
       "{\"at\":1000.5,\"backends\":[{\"cold_since\":995.5,\"fails\":0.5,\"limit\":12.0,\"name\":\"s-7\","
       "\"pace\":0.125,\"speed\":1.25}],\"gateway\":\"n0\",\"let_in\":0.875,\"units\":[2.0,3.0],\"version\":1,"
@@ -63,7 +67,7 @@
   auto name_of = [](uint32_t) { return std::string("s-7"); };
   auto id_of = [](const std::string&) { return uint32_t{7}; };
   EXPECT_EQ(ivygw::state::FormatLearned(learned, 1000.5, "n0", name_of), text);
-  std::optional<micadock::Learned> read = ivygw::state::ParseLearned(text, 1001, "n0", id_of);
+  std::optional<micadock::LearnedState> read = ivygw::state::ParseLearned(text, 1001, "n0", id_of);
   ASSERT_TRUE(read);
   EXPECT_EQ(ivygw::state::FormatLearned(*read, 1000.5, "n0", name_of), text);
 }
@@ -133,12 +137,13 @@
     EXPECT_EQ(ivygw::membership::Write(member), text);
     EXPECT_EQ(ivygw::membership::Write(ivygw::membership::Read("n0", text)), text);
   }
-  EXPECT_EQ(ivygw::parts::Write({.share = 0.25, .need = 0.5, .since = 77}), "1 0.250000000 0.500000000 77");
-  ivygw::parts::Loan loan = ivygw::parts::ReadLoan("1 0.250000000 0.500000000 77");
+  EXPECT_EQ(ivygw::parts::SerializeShareLease({.share = 0.25, .demand = 0.5, .waiting_since = 77}),
+            "1 0.250000000 0.500000000 77");
+  ivygw::parts::ShareLease loan = ivygw::parts::ParseShareLease("1 0.250000000 0.500000000 77");
   EXPECT_EQ(loan.share, 0.25);
-  EXPECT_EQ(loan.need, 0.5);
-  EXPECT_EQ(loan.since, 77u);
-  EXPECT_EQ(ivygw::parts::Borrower::Prefix("00ff"), "loan/00ff/");
+  EXPECT_EQ(loan.demand, 0.5);
+  EXPECT_EQ(loan.waiting_since, 77u);
+  EXPECT_EQ(ivygw::parts::ShareLeaseClient::KeyPrefix("00ff"), "loan/00ff/");
 }
 
 // A commit that writes, renews, removes and expires, as it stands in an engine afterwards.
@@ -257,89 +262,93 @@
 std::vector<ivygw::core::Event> SampleEvents() {
   using namespace ivygw::core;
   using micadock::BackendState, micadock::ListKind, micadock::Result;
-  std::vector<Event> events = {Arrival{.client = 7,
-                                       .id = "order-77",
-                                       .cls = 1,
-                                       .plan = 2,
-                                       .customer = 0x1b4d65521,
-                                       .units = 2.5,
-                                       .entries = 3,
-                                       .timeout_s = 0.75,
-                                       .body_s = 0.5,
-                                       .recorded = true,
-                                       .resumed = false,
-                                       .may_have_run = true,
-                                       .ran_age_s = 0.125,
-                                       .ran_zone = 11,
-                                       .ran_cell = 12},
-                               ClientGone{21},
-                               Connected{22},
-                               Written{23},
-                               Answered{24, Result::kError, 1.5, true},
-                               Lost{25},
-                               Stale{26},
-                               ListFailed{},
-                               CountWritten{27},
-                               CountAnswered{28, Result::kFull, 12.25},
-                               CountLost{29},
-                               TimeCame{},
-                               ShutdownBegun{},
-                               BanTold{30, true},
-                               DrainTold{true},
-                               BodyGone{31},
-                               BodyEnded{32},
-                               AnswerBegun{33},
-                               IntentTold{.request = 34, .attempt = 35, .ok = true},
-                               Withdrawn{36},
-                               FleetTold{37, false},
-                               ShareTold{.customer = 38, .share = 0.25, .seconds = 2.5}};
-  micadock::Learned learned{
-      .backends = {{.id = 9, .speed = 1.5, .pace = 0.25, .limit = 3, .fails = 0.1, .cold_since = 17.5}},
-      .work = {0.5, 0.25},
-      .units = {1, 2},
-      .let_in = 0.75,
-      .warm_work = 3.5};
-  events.push_back(LearnedTold{learned});
-  Arrival resumed;
+  std::vector<Event> events = {RequestArrived{.client = 7,
+                                              .id = "order-77",
+                                              .cls = 1,
+                                              .plan = 2,
+                                              .customer = 0x1b4d65521,
+                                              .units = 2.5,
+                                              .entries = 3,
+                                              .timeout_s = 0.75,
+                                              .body_s = 0.5,
+                                              .recorded = true,
+                                              .resumed = false,
+                                              .may_have_run = true,
+                                              .ran_age_s = 0.125,
+                                              .ran_zone = 11,
+                                              .ran_cell = 12},
+                               ClientDisconnected{21},
+                               ConnectionOpened{22},
+                               RequestWritten{23},
+                               ResponseReceived{24, Result::kError, 1.5, true},
+                               ConnectionLost{25},
+                               ConnectionStale{26},
+                               DiscoveryFailed{},
+                               CounterCallWritten{27},
+                               CounterResponseReceived{28, Result::kFull, 12.25},
+                               CounterCallLost{29},
+                               TimerExpired{},
+                               ShutdownRequested{},
+                               BackendBanChanged{30, true},
+                               DrainChanged{true},
+                               BodyDiscarded{31},
+                               BodyCompleted{32},
+                               ResponseStarted{33},
+                               IntentResolved{.request = 34, .attempt = 35, .ok = true},
+                               RequestWithdrawn{36},
+                               FleetSizeChanged{37, false},
+                               QuotaShareGranted{.customer = 38, .share = 0.25, .seconds = 2.5}};
+  micadock::LearnedState learned{.backends = {{.id = 9,
+                                               .relative_latency = 1.5,
+                                               .latency_ratio = 0.25,
+                                               .limit = 3,
+                                               .failure_rate = 0.1,
+                                               .cold_since = 17.5}},
+                                 .work = {0.5, 0.25},
+                                 .units = {1, 2},
+                                 .admit_share = 0.75,
+                                 .warm_work = 3.5};
+  events.push_back(LearnedStateRestored{learned});
+  RequestArrived resumed;
   resumed.resumed = true;
   events.push_back(resumed);
   for (BackendState state : {BackendState::kGone, BackendState::kReady, BackendState::kDraining}) {
-    Listed listed;
+    ListedBackend listed;
     listed.backend = {
         .id = 39, .state = state, .kind = 1, .zone = 2, .cell = 3, .weight = 0.5, .started_s = 1700000000.25};
     listed.address = 40;
     for (ListKind kind : {ListKind::kDelta, ListKind::kFull, ListKind::kCached, ListKind::kFailed}) {
-      events.push_back(ListTold{kind, {listed}});
+      events.push_back(BackendListUpdated{kind, {listed}});
     }
   }
   for (Result result : {Result::kOk, Result::kError, Result::kFull, Result::kTimeout, Result::kConnectFailed,
                         Result::kReset, Result::kCancelled, Result::kNeverSent}) {
-    events.push_back(Answered{41, result, 2.5, false});
+    events.push_back(ResponseReceived{41, result, 2.5, false});
   }
   return events;
 }
 
 ivygw::core::Effects SampleEffects() {
   using namespace ivygw::core;
-  return {Hold{.request = 1, .client = 2},
-          Answer{.client = 3, .request = 4, .status = 429, .retry_after_s = 0.5, .connection = 5},
-          Forget{6},
-          Connect{.connection = 7, .address = 8},
-          Write{.connection = 9, .request = 10, .attempt = 11, .patience_s = 0.25, .kept = true},
-          Close{12},
-          Count{.call = 13, .name = 14, .amount = 2.5, .keep_s = 3.5},
-          DropCount{15},
+  return {RegisterRequest{.request = 1, .client = 2},
+          SendResponse{.client = 3, .request = 4, .status = 429, .retry_after_s = 0.5, .connection = 5},
+          ReleaseRequest{6},
+          OpenConnection{.connection = 7, .address = 8},
+          WriteRequest{.connection = 9, .request = 10, .attempt = 11, .timeout_s = 0.25, .reused = true},
+          CloseConnection{12},
+          CallCounter{.call = 13, .name = 14, .amount = 2.5, .ttl_s = 3.5},
+          CancelCounterCall{15},
           Log{"text"},
-          Subscribe{},
-          AskClientsToClose{},
-          CloseIdleClients{},
-          StopIfQuiet{},
+          SubscribeToDiscovery{},
+          DisableClientKeepAlive{},
+          CloseIdleClientConnections{},
+          StopIfIdle{},
           Stop{},
-          KeepClients{},
-          BeginAnswer{.client = 16, .request = 17, .connection = 18},
-          BreakAnswer{.client = 19, .request = 20},
-          Intend{.request = 21, .attempt = 22, .backend = 23},
-          AttemptOver{.request = 24, .attempt = 25, .may_have_run = true}};
+          EnableClientKeepAlive{},
+          StartResponse{.client = 16, .request = 17, .connection = 18},
+          AbortResponse{.client = 19, .request = 20},
+          RecordIntent{.request = 21, .attempt = 22, .backend = 23},
+          RecordAttemptEnd{.request = 24, .attempt = 25, .may_have_run = true}};
 }
 
 std::string SampleTurns() {
