--- a/src/policy/balance.cpp
+++ b/src/policy/balance.cpp
@@ -1,4 +1,4 @@
-// The life of a request: admission, attempts, retries, one final answer. Quotas and backends are independent parts.
+// The life cycle of a request: admission, attempts, retries, one final answer. Quotas and backends are independent.
 #include "policy/balance.h"
 
 #include <tuple>
@@ -10,9 +10,9 @@
 namespace micadock {
 namespace {
 
-constexpr double kSilenceAimShare = 0.5;  // of the latency target, after which a silent attempt may be given up,
-constexpr double kSilenceWorkTimes = 6;   // and times its expected answer time: chance alone seldom takes so long
-constexpr double kRetryTokensPerRequest = 0.1, kMaxRetryTokens = 20;  // retry budget, per first attempt; at most
+constexpr double kSilenceAimShare = 0.5;  // a silent attempt is given at least this share of the latency target
+constexpr double kSilenceWorkTimes = 6;   // expected answer times a silent attempt is given; chance seldom takes more
+constexpr double kRetryTokensPerRequest = 0.1, kMaxRetryTokens = 20;  // tokens earned per first attempt; most held
 constexpr uint64_t kDiscoveryTimerTag = 1ULL << 40;  // timer for the next request to discovery
 
 }  // namespace
@@ -38,7 +38,7 @@
     if (result.ok) quotas_.MaybeReportUnits(result.id, c, now, out);
   }
 
-  // Admits or refuses the requests held for the counter by what is known now. `answered`: the call succeeded.
+  // Admits or refuses requests held for the counter's answer, by what is known now. `answered`: the call succeeded.
   void AdmitHeld(uint64_t id, Customer* c, bool answered, double now, Actions* out) {
     std::vector<HeldRequest> held_requests = std::exchange(c->held, {});
     double wanted = c->held_for_quota = 0;
@@ -120,7 +120,7 @@
     quotas_.MaybeReportUnits(r.customer, &c, now, out);
   }
 
-  // Takes over a request from another gateway, which charged its units. Attempts made there restrict retries here.
+  // Takes over a request from another gateway, which has charged its units. Attempts made there limit retries here.
   void Resume(const Request& r, double now, Actions* out) {
     ActiveRequest& active = requests_[r.id];
     active.request = r;
@@ -242,12 +242,12 @@
     ActiveRequest& active = it->second;
     active.deadline = now + active.request.left_s;
     for (Attempt& attempt : active.attempts) {
-      if (attempt.in_flight) attempt.sent_at = now;  // the backend's answer time starts here too
+      if (attempt.in_flight) attempt.sent_at = now;  // the backend's answer time is measured from here too
     }
     ArmTimer(active, now, out);
   }
 
-  // The time to the response's start measures the backend; its duration depends on the client.
+  // The time until the response starts measures the backend; how long the stream then lasts depends on the client.
   void OnStreamBegun(double now, uint32_t request, Actions* out) {
     auto it = requests_.find(request);
     if (it == requests_.end() || it->second.streaming) return;
@@ -268,11 +268,11 @@
     auto it = requests_.find(static_cast<uint32_t>(tag));
     if (it == requests_.end() || it->second.answered || it->second.streaming) return;
     ActiveRequest& active = it->second;
-    if (now >= active.deadline - 3 * s_.resolution_s) {  // answers before the client gives up
+    if (now >= active.deadline - 3 * s_.resolution_s) {  // answers just before the client gives up
       backends_.AdjustAdmitShare(2, now);
       return RefuseOrFail(&active, out);
     }
-    if (active.attempts.empty()) return ArmTimer(active, now, out);  // held for the counter
+    if (active.attempts.empty()) return ArmTimer(active, now, out);  // held until the counter answers
     const Attempt& attempt = active.attempts.back();
     Host* host = backends_.Find(attempt.backend_id);
     bool silent = attempt.in_flight && host != nullptr && host->last_answer_at <= attempt.sent_at;
--- a/src/policy/balance.h
+++ b/src/policy/balance.h
@@ -19,23 +19,23 @@
 // One class of requests.
 struct ClassSettings {
   double aim_s = 0;       // latency target: an answer within it earns the full worth
-  double deadline_s = 0;  // for which a client waits
-  double window_s = 0;    // kGuarded: repeats are dropped for so long from the first attempt that may have run
+  double deadline_s = 0;  // time for which a client waits for the answer
+  double window_s = 0;    // kGuarded: time after the first attempt that may have run, in which repeats are dropped
   double worth = 0;
-  double late_share = 0;  // share of the worth earned between aim and deadline
+  double late_share = 0;  // share of the worth that an answer after aim_s and before deadline_s earns
   Effect effect = Effect::kFree;
   Scope scope = Scope::kAll;
 };
 
-// One plan. Its limits hold for each customer over all gateways together, in units and units a second.
+// One plan. Its limits hold for each customer over all gateways together, in units and units per second.
 struct PlanSettings {
   double rate = 0;  // 0: no rate quota
   double burst = 0;
-  double ceiling_rate = 0;  // hard limit; 0: none
+  double ceiling_rate = 0;  // hard limit on the rate (the ceiling); 0: none
   double ceiling_burst = 0;
-  double ceiling_slack = 0;  // tolerated beyond ceiling_burst
-  double excess_worth = 0;   // share of worth earned beyond the quota
-  double over_cost = 0;      // share of worth charged beyond the quota
+  double ceiling_slack = 0;  // units tolerated beyond ceiling_burst
+  double excess_worth = 0;   // share of its worth that a request beyond the quota earns
+  double over_cost = 0;      // share of its worth that serving a request beyond the quota costs
   double price = 0;
   int parallel = 0;  // cap on attempts in flight; 0: none
 };
@@ -43,27 +43,27 @@
 struct Settings {
   int gateway = 0;              // this gateway's index
   int gateways = 0;             // current number of gateways
-  int configured_gateways = 0;  // number as configured; 0: unknown
-  bool counted = true;          // this gateway is one of `gateways`; else it gets no part of what is split evenly
-  bool lend_ceilings = false;   // parts of ceilings are assigned by OnShare, not split evenly
+  int configured_gateways = 0;  // number of gateways as configured; 0: unknown
+  bool counted = true;          // `gateways` includes this one; else it gets no share of limits that are split evenly
+  bool lend_ceilings = false;   // shares of ceilings are assigned by OnShare, not split evenly
   int zone = 0;
-  double resolution_s = 0;  // of timers
+  double resolution_s = 0;  // resolution of timers
   bool push_discovery = false;  // lists of backends are pushed; else they are subscribed to
-  double max_units = 0;    // of one request
+  double max_units = 0;    // units of the largest request
   bool may_count = false;  // there is a shared counter
   double count_timeout_s = 0;
-  double count_price = 0;  // of one call to the counter, as a share of a request's worth
+  double count_price = 0;  // price of one call to the counter, as a share of a request's worth
   double cross_zone_price = 0;
   bool cancel = false;       // attempts can be cancelled
   bool hedging = false;      // a request may have several attempts in flight
   bool retry_after = false;  // refusals carry a Retry-After time
   double max_retry_after_s = 0;
-  int try_limit = 0;          // attempts for each request
-  double cold_from = 0;       // slow start: share of its capacity that a backend has right after a start,
-  double warm_after_s = 0;    // and time over which it rises to all of it
-  double tip_multiple = 0;    // a cold backend fails for good when it is sent so many times its capacity
-  double tip_after_s = 0;     // for so long
-  double max_discovery_retry_s = 0;  // longest wait after a failed request to discovery
+  int try_limit = 0;          // most attempts for each request
+  double cold_from = 0;       // slow start: share of its capacity that a backend has right after a start
+  double warm_after_s = 0;    // slow start: time over which that share rises to 1
+  double tip_multiple = 0;    // a cold backend that is sent this multiple of its capacity fails for good
+  double tip_after_s = 0;     // time for which it must be sent tip_multiple to fail
+  double max_discovery_retry_s = 0;  // longest wait before a failed request to discovery is repeated
   std::vector<ClassSettings> classes;
   std::vector<PlanSettings> plans;
 };
@@ -86,13 +86,14 @@
   int cls = 0;
   int plan = 0;
   uint64_t customer = 0;
-  double left_s = 0;  // time left to answer, from the end of its body
-  double body_s = 0;  // for which its body may still arrive; 0: it is complete
+  double left_s = 0;  // time left to answer it, counted from the end of its body
+  double body_s = 0;  // time for which its body may still arrive; 0: the body is complete
   double units = 0;
-  double entries = 1;  // gateways this customer may arrive through
-  // Taken over from another gateway, which charged its units; and what that knows of earlier attempts.
+  double entries = 1;  // number of gateways through which this customer may arrive
+  // `resumed`: the request was taken over from another gateway, which has already charged its units. The other fields
+  // hold what that gateway knows of earlier attempts: whether one may have run, and where and when the first did.
   bool resumed = false, may_have_run = false;
-  double ran_age_s = 0;  // since the first attempt that may have run
+  double ran_age_s = 0;  // time since the first attempt that may have run was sent
   int ran_zone = 0, ran_cell = 0;
 };
 
@@ -105,8 +106,8 @@
   Result result = Result::kOk;
   bool finished = false;
   uint32_t backend = 0;
-  double true_units = 0;  // as the response reported; 0: not reported
-  bool resendable = true;  // the whole request is still held
+  double true_units = 0;  // units that the response reported; 0: none reported
+  bool resendable = true;  // the gateway still holds the whole request, so that it can be sent again
 };
 
 // The counter's answer to an action of kind kCount.
@@ -122,7 +123,7 @@
   uint32_t request = 0;
   uint32_t backend = 0;
   int attempt = 0;
-  uint64_t tag = 0;    // kTimer: returned by OnTimer; kCount: name of the count
+  uint64_t tag = 0;    // kTimer: passed back to OnTimer; kCount: name of the count
   double seconds = 0;  // kSend: time-out; kTimer: wait; kRefuse: Retry-After; kCount: expiry
   double amount = 0;   // kCount: added to the count
   std::string text;
@@ -133,13 +134,14 @@
 struct LearnedState {
   struct BackendEstimate {
     uint32_t id = 0;
-    // EWMAs of answer time over all backends' mean, and over the latency target; concurrency limit; failure rate.
+    // relative_latency, latency_ratio: EWMAs of the answer time divided by the mean of all backends, and divided by
+    // the latency target. limit: concurrency limit. failure_rate: EWMA of failures.
     double relative_latency = 1, latency_ratio = 0, limit = 0, failure_rate = 0;
     double cold_since = 0;  // start of its slow start, on the clock of `now`; 0: warm
   };
   std::vector<BackendEstimate> backends;
-  std::vector<double> work, units;  // by class: mean answer time, mean units
-  double admit_share = 1, warm_work = 0;  // share of requests admitted; recent work of each warm backend, in seconds
+  std::vector<double> work, units;  // by class: mean answer time in seconds, mean units
+  double admit_share = 1, warm_work = 0;  // share of requests admitted; decaying sum of a warm backend's work, in s
 };
 
 // The policy of one gateway. Every call gets the current time and appends its actions in order. Not thread-safe.
@@ -154,14 +156,14 @@
   void OnRequest(double now, const Request& request, Actions* out);
   // The request's body is complete: its time to answer starts.
   void OnBodyEnded(double now, uint32_t request, Actions* out);
-  // A successful response has begun and is streamed to the client: time limits end. Its outcome follows.
+  // A successful response has begun and is streamed to the client: its time limits end here. OnOutcome follows later.
   void OnStreamBegun(double now, uint32_t request, Actions* out);
   void OnOutcome(double now, const Outcome& outcome, Actions* out);
   void OnAbandoned(double now, uint32_t request, Actions* out);
   void OnTimer(double now, uint64_t tag, Actions* out);
   // Replaces Settings::gateways and Settings::counted.
   void OnFleet(int gateways, bool counted);
-  // Sets this gateway's share of the customer's lent ceiling for so many seconds, in place of the one before.
+  // Sets this gateway's share of the customer's lent ceiling for the next `seconds`, replacing the share set before.
   void OnShare(double now, uint64_t customer, double share, double seconds);
   void OnCount(double now, const CountAnswer& answer, Actions* out);
   LearnedState ExportLearned(double now) const;
--- a/src/policy/fleet.cpp
+++ b/src/policy/fleet.cpp
@@ -3,33 +3,33 @@
 namespace micadock {
 namespace {
 
-constexpr double kFailureRateWeight = 0.1;  // EWMA weight of a success; a failure has twice that
-constexpr double kEjectFailureRate = 0.48;  // reached by three failures in a row
-constexpr double kMinEjectionS = 0.5, kMaxEjectionS = 4.0;  // doubles with each ejection in a row
-constexpr double kDeadAfterSilenceS = 1.5;  // without an answer for so long, a failed connection means a dead process
-constexpr double kMaxEjectedShare = 0.25;   // of the ready backends; with more the fault is likely elsewhere
-constexpr double kReturnedCostFactor = 1e-3;  // on a backend back from a drain, until its first attempt
-constexpr double kEjectedCostFactor = 10;   // on ejected backends, which serve when more than that share is out
-constexpr double kInitialLimit = 3, kMaxLimit = 200;  // concurrency limit: attempts in flight at one backend
+constexpr double kFailureRateWeight = 0.1;  // EWMA weight of a success; a failure weighs twice as much
+constexpr double kEjectFailureRate = 0.48;  // failure rate that ejects a backend; three failures in a row exceed it
+constexpr double kMinEjectionS = 0.5, kMaxEjectionS = 4.0;  // length of an ejection; doubles with each one in a row
+constexpr double kDeadAfterSilenceS = 1.5;  // a connection lost this long after the last answer means a dead process
+constexpr double kMaxEjectedShare = 0.25;  // above this share of ready backends ejected the fault is likely elsewhere
+constexpr double kReturnedCostFactor = 1e-3;  // cost factor of a backend back from a drain, until its first attempt
+constexpr double kEjectedCostFactor = 10;   // cost factor of ejected backends, which serve above kMaxEjectedShare
+constexpr double kInitialLimit = 3, kMaxLimit = 200;  // concurrency limit: most attempts in flight at one backend
 constexpr double kLimitCutFactor = 0.7, kMinLimitCutIntervalS = 0.1;
-constexpr double kMinCapacityShare = 0.3;  // of the capacity, for classes of least worth per second of work
-constexpr double kBorrowedCapacityShare = 0.5;  // of its class's capacity, for a request beyond its quota
-constexpr double kQueueLatencyRatio = 0.27, kRaiseLatencyRatio = 0.2;  // answer time over target: limit cut, raised
-constexpr double kMinLatencyWeight = 0.15;  // EWMA weight of one answer; higher where answers are rare:
-constexpr double kLatencyDecayS = 0.7;      // by the decay of the estimate over this time
-constexpr double kColdTipShare = 0.4;       // of tip_multiple, for one core; over all gateways together
-constexpr double kColdRateShare = 0.8;      // of a warm backend's rate of work: a cold one gets its fraction of that
-constexpr double kWarmWorkDecayS = 2;       // time constant of that rate
-constexpr double kMaxColdBudgetS = 0.3;     // of the cold rate, that may be saved up
-constexpr double kMinAdmitStep = 0.02;      // step of the admit share at an answer,
-constexpr double kAdmitStepS = 0.8;         // as time since the last one over this,
-constexpr double kMaxAdmitStep = 0.4;       // capped, since one answer tells little
-constexpr double kAdmitHeadroomSteps = 2;   // by which the share may rise above 1, so that chance refuses nobody
+constexpr double kMinCapacityShare = 0.3;  // share of the capacity open to requests of least worth per second of work
+constexpr double kBorrowedCapacityShare = 0.5;  // share of its class's capacity open to a request beyond its quota
+constexpr double kQueueLatencyRatio = 0.27, kRaiseLatencyRatio = 0.2;  // latency_ratio: cut limit above, raise below
+constexpr double kMinLatencyWeight = 0.15;  // least EWMA weight of one answer in latency_ratio
+constexpr double kLatencyDecayS = 0.7;      // time constant of latency_ratio: after a long gap one answer weighs more
+constexpr double kColdTipShare = 0.4;       // share of tip_multiple that all gateways together send a cold core
+constexpr double kColdRateShare = 0.8;      // share of a warm backend's work rate that a cold one's rate rises to
+constexpr double kWarmWorkDecayS = 2;       // time constant of a warm backend's rate of work
+constexpr double kMaxColdBudgetS = 0.3;     // most budget that a cold backend saves up, in seconds of its rate
+constexpr double kMinAdmitStep = 0.02;      // least step of the admit share at one answer
+constexpr double kAdmitStepS = 0.8;  // the admit share's step is the time since the last answer divided by this
+constexpr double kMaxAdmitStep = 0.4;       // largest step of the admit share, since one answer tells little
+constexpr double kAdmitHeadroomSteps = 2;   // steps the admit share may rise above 1, so that chance refuses nobody
 constexpr double kAdmitRecoveryPerS = 0.05;
-constexpr double kMinAdmitShare = 0.05;     // lets some answers through, without which it could not recover
+constexpr double kMinAdmitShare = 0.05;     // lets some requests through: without answers the share can't recover
 constexpr double kClassMeanWeight = 0.02;   // EWMA weight of one answer in a class's mean time and units
-constexpr double kZoneFailureWeight = 0.3, kZoneFailureDecayS = 4;  // EWMA weight of one outcome; time constant
-constexpr double kInitialWorkAimShare = 0.25;  // of the latency target: a class's answer time before any answer
+constexpr double kZoneFailureWeight = 0.3, kZoneFailureDecayS = 4;  // EWMA weight of one outcome; decay time constant
+constexpr double kInitialWorkAimShare = 0.25;  // share of the latency target taken as answer time before any answer
 
 }  // namespace
 
@@ -44,8 +44,9 @@
   return work_[r.cls] * (mean_units > 0 ? r.units / mean_units : 1);
 }
 
-// Slow start: refills a token bucket of work, at the warmed-up fraction of what this gateway sends a warm backend, or
-// where that is little, of one core's work over the number of gateways: together they can't overrun a cold backend.
+// Slow start: refills a token bucket of work. Its rate is the warmed-up fraction of what this gateway sends a warm
+// backend (times kColdRateShare) or, if that is less, of this gateway's even part of what one core can take
+// (kColdTipShare), so that all gateways together can't overrun a cold backend.
 bool BackendPool::HasColdBudget(Host* host, double now) {
   double warmed = std::max(0.0, now - host->cold_since) / std::max(1e-3, s_.warm_after_s);
   if (warmed >= 1) host->cold_since = 0;
@@ -59,8 +60,8 @@
   return host->budget > 0;
 }
 
-// The budget starts at a random debt of up to one request: else each of hundreds of gateways, with a budget of less
-// than one request, would send one at once.
+// The budget starts at a random debt of up to one request. Any budget above 0 lets a whole request through, so
+// without the debt each of hundreds of gateways would send one at once.
 void BackendPool::StartWarmup(Host* host, double since, double now) {
   host->cold_since = since;
   host->budget_at = now;
@@ -86,7 +87,7 @@
   double relative_worth = max_worth > 0 ? cls.worth / work_[r.cls] / max_worth : 1;
   bool late_retry = r.left_s < max_time_left_[r.cls] - s_.resolution_s && cls.deadline_s - r.left_s > cls.aim_s;
   if (late_retry) relative_worth *= cls.late_share;
-  // Limits tell little where few attempts are in flight at each backend: the admit share goes by all answers.
+  // Limits tell little where few attempts are in flight at each backend; the admit share is set by all answers.
   if (dice_->Unit() > std::pow(std::min(1.0, admit_share_),
                (borrowed ? 2 : 1) / (kMinCapacityShare + (1 - kMinCapacityShare) * relative_worth))) return true;
   double capacity_share = kMinCapacityShare + (1 - kMinCapacityShare) * relative_worth;
@@ -114,7 +115,7 @@
                   (0.95 + 0.1 * dice_->Unit());
     if (host.info.zone != s_.zone) cost *= 1.5;
     if (host.returned_from_drain) cost *= kReturnedCostFactor;
-    if (host.ejected_until > now) cost *= kEjectedCostFactor;  // non-ejected ones first
+    if (host.ejected_until > now) cost *= kEjectedCostFactor;  // backends that are not ejected come first
     for (const Attempt& attempt : active.attempts) { if (attempt.backend_id == host.info.id) cost += 100; }
     if (best == nullptr || cost < best_cost) { best = &host; best_cost = cost; }
   }
@@ -166,7 +167,7 @@
 
 void BackendPool::OnFault(Host* host, bool may_be_dead, double now, Actions* out) {
   host->failure_rate += kFailureRateWeight * 2 * (1 - host->failure_rate);
-  // A process that takes no connections and has not answered for a while may be restarting: slow start follows.
+  // A process that takes no connections and has not answered for a while may be restarting, so it gets a slow start.
   if (may_be_dead && now - host->last_answer_at > kDeadAfterSilenceS) StartWarmup(host, now, now);
   if (host->ejected_until > now) return;
   if (host->on_probation || host->failure_rate > kEjectFailureRate) {
@@ -211,7 +212,7 @@
   if (replied || (silent && !no_fault)) ObserveZone(host->info.zone, !replied, now);
   switch (outcome.result) {
     case Result::kOk: {
-      if (host->cold_since <= 0) {  // replied work only: rejected attempts don't show what a warm backend can do
+      if (host->cold_since <= 0) {  // successes only: rejected attempts don't show what a warm backend can do
         warm_work_ = warm_work_ * std::exp(-(now - warm_at_) / kWarmWorkDecayS) +
                      ExpectedWork(active.request) / std::max(1, warm_count_);
         warm_at_ = now;
@@ -258,8 +259,8 @@
   }
 }
 
-// Sums up relative errors of latency against kQueueLatencyRatio in log space (integral control). The step follows the
-// time between answers, which keeps the loop stable at few answers a second as at many.
+// Integral control in log space of the error of latency_ratio relative to kQueueLatencyRatio. The step grows with the
+// time between answers, which keeps the loop as stable at few answers per second as at many.
 void BackendPool::AdjustAdmitShare(double latency_ratio, double now) {
   double elapsed_s = std::min(1.0, now - adjusted_at_),
          step = std::clamp(elapsed_s / kAdmitStepS, kMinAdmitStep, kMaxAdmitStep);
--- a/src/policy/quotas.cpp
+++ b/src/policy/quotas.cpp
@@ -3,29 +3,29 @@
 namespace micadock {
 namespace {
 
-constexpr double kReportBatchShare = 0.25;  // of the tokens left, over the entries: most units left unreported
+constexpr double kReportBatchShare = 0.25;  // share of an even part of the tokens left that may stay unreported
 constexpr double kMaxReportDelayWindows = 0.25;
-constexpr double kInFlightEpochS = 4;  // counts of attempts in flight restart, which drops those of dead gateways
-constexpr double kIdleTimeoutWindows = 3, kIdleTimeoutS = 10;  // idle customers are dropped after both
-constexpr double kCongestedCallGapS = 0.3;    // least gap between a gateway's calls to a fully congested counter,
-constexpr double kMaxCallsPerS = 100;   // and most calls of all gateways together
+constexpr double kInFlightEpochS = 4;  // shared attempt counts restart each epoch, which drops those of dead gateways
+constexpr double kIdleTimeoutWindows = 3, kIdleTimeoutS = 10;  // idle customers are dropped after the longer one
+constexpr double kCongestedCallGapS = 0.3;    // least gap between one gateway's calls to a fully congested counter
+constexpr double kMaxCallsPerS = 100;   // most calls per second of all gateways together to a fully congested counter
 constexpr int kCounterFailureLimit = 4;       // failed calls in a row after which the counter counts as unavailable
-constexpr double kOthersRateDecayWindows = 1;  // staleness at which the reported rate of others has decayed to 1/e
-constexpr double kPartMeanWindows = 8;        // time constant of the rates that set the local part
-constexpr double kCorrectionBurstShare = 0.25;  // of the burst: others' corrections may lower a total by that
-constexpr double kSlowAnswerTimeouts = 1.6;   // of the counter's time-out: a later answer is a sign of congestion
-constexpr double kCongestionGrow = 0.1, kCongestionShrink = 0.1;  // EWMA weights: failed or slow answer, quick one
-constexpr double kUnreportedSharePerCost = 5, kMaxUnreportedShare = 0.8;  // of requests, per cost of a call; at most
-constexpr double kCallsPerHold = 1.5;         // one that reads and adds, at times another that corrects
-constexpr double kMinTimeLeftTimeouts = 4;    // of the counter's time-out: a request with less time left is not held
-constexpr double kFreshReportShare = 0.9;     // of reported attempts, still in flight: the report is taken as exact
-constexpr double kInFlightMeanS = 5;          // time constant of the mean of attempts in flight, and of its staleness
-constexpr double kCapCongestionShare = 0.1;   // of the congestion, as cost of a hold at a cap: guesses cost more
-constexpr double kReportShareFactor = 1.5;    // reported share of attempts, over the used share of the cap,
-constexpr double kMinReportShare = 0.1;       // but at least this: a sample stands for the rest far below the cap
-constexpr double kTrustedQuotaShare = 0.9;  // a customer with no total yet is trusted from this share on,
-constexpr double kTrustCongestion = 0.2;      // where congestion above this makes first reads rare
-constexpr double kPriorWithinQuotaShare = 0.7;  // before any held request
+constexpr double kOthersRateDecayWindows = 1;  // age at which the last reported rate of others has decayed to 1/e
+constexpr double kPartMeanWindows = 8;        // time constant of the mean rates that set the local part
+constexpr double kCorrectionBurstShare = 0.25;  // share of the burst by which others' corrections may lower a total
+constexpr double kSlowAnswerTimeouts = 1.6;   // an answer later than this many counter time-outs shows congestion
+constexpr double kCongestionGrow = 0.1, kCongestionShrink = 0.1;  // EWMA weights of failed or slow, of quick answers
+constexpr double kUnreportedSharePerCost = 5, kMaxUnreportedShare = 0.8;  // share of requests per call cost; its cap
+constexpr double kCallsPerHold = 1.5;         // calls for a hold: one reads and adds, at times another corrects
+constexpr double kMinTimeLeftTimeouts = 4;    // counter time-outs that a request must have left to be held
+constexpr double kFreshReportShare = 0.9;  // a report is taken as exact while this share of its attempts is in flight
+constexpr double kInFlightMeanS = 5;          // time constant of own_in_flight_mean, and of reports growing stale
+constexpr double kCapCongestionShare = 0.1;   // share of congestion charged to a hold for a cap, as guesses cost more
+constexpr double kReportShareFactor = 1.5;    // share of attempts reported, divided by the share of the cap in use
+constexpr double kMinReportShare = 0.1;       // least share of attempts reported: far below the cap a sample suffices
+constexpr double kTrustedQuotaShare = 0.9;  // within_quota_share from which a customer with no total yet is trusted
+constexpr double kTrustCongestion = 0.2;  // congestion above which first reads are rare: kTrustedQuotaShare applies
+constexpr double kPriorWithinQuotaShare = 0.7;  // within_quota_share of a plan before any held request
 constexpr double kPlanShareWeight = 0.05, kCustomerShareWeight = 0.3;  // EWMA weights of one held request
 
 }  // namespace
@@ -51,7 +51,7 @@
     c.refilled_at = c.first_seen = now;
     c.tokens = p.burst;
     c.others_rate = p.rate * (c.entries - 1) / c.entries;
-    c.own_rate_mean = 0.5 * p.rate / c.entries;  // before any total: half used, evenly
+    c.own_rate_mean = 0.5 * p.rate / c.entries;  // before any total: half the rate is used, evenly
     c.others_rate_mean = 0.5 * c.others_rate;
     c.ceiling.Initialize(AllowanceOf(c), now - start_);
     if (p.rate > 0) c.window = Window(p, now);
@@ -62,11 +62,10 @@
   return c;
 }
 
-// Settles the refill at the old share first; the new share brings no tokens of its own.
 void Quotas::OnShare(uint64_t id, double share, double now, double seconds) {
   Customer* c = Lookup(id);
   if (c == nullptr) return;
-  Refill(c, now);
+  Refill(c, now);  // at the old share; the new one adds no tokens by itself
   c->lent_share = share;
   c->lent_share_until = now + seconds;
 }
@@ -100,20 +99,21 @@
   int64_t window = Window(p, now);
   if (window != c->window) {
     double width = WindowS(p);
-    bool lost = window > c->window + 1 && c->entries > 1 && !UsesLocalPart(*c);  // others' use since then is unknown
+    bool lost = window > c->window + 1 && c->entries > 1 && !UsesLocalPart(*c);  // others' use in between is unknown
     double over = c->window_used - p.rate * width * static_cast<double>(window - c->window);
-    // Without a sound total in the window the estimated bucket is carried over; it includes unreported units.
+    // Without a sound total in the window the estimated bucket is carried over, which includes unreported units.
     if (c->total_known && !c->window_read && !lost) { over = p.burst - c->tokens; c->unreported = 0; }
     c->window_used = c->carried_debt = lost ? 0 : std::clamp(over, 0.0, p.burst);
     if (lost) c->total_known = false, c->sent_unread = 0;
     c->window_read = false;
     c->window = window;
-    c->unreported = std::min(c->unreported, p.burst);  // after a long outage, debt of at most one burst
+    c->unreported = std::min(c->unreported, p.burst);  // a long outage leaves a debt of at most one burst
     c->min_total = 0;
   }
 }
 
-// Grants the paper's share term V_i / sum V * (W - mu_i) for the last tick in which the customer asked.
+// Grants the paper's share term V_i / sum V * (W - mu_i): of the units W served in the last tick in which it asked,
+// less its tokens mu_i, the customer gets the part that the units it asked for (V_i) are of those of all (sum V).
 void Quotas::GrantShare(Customer* c, double units, double now) {
   int64_t tick = ticks_->Roll(now);
   if (c->asked_tick != tick) {
@@ -131,7 +131,7 @@
   ticks_->At(tick).asked += units;
 }
 
-// Share of requests admitted without a hold that go unreported, sampled: the others are reported with more weight.
+// Share of requests admitted without a hold that sampling leaves unreported; others are reported with more weight.
 double Quotas::UnreportedShare() const {
   return std::min(kMaxUnreportedShare, kUnreportedSharePerCost * (congestion_ + s_.count_price));
 }
@@ -171,7 +171,7 @@
   Customer* c = &found->second;
   Refill(c, now);
   if (call.kind != Call::kPool) (call.kind == Call::kInFlight ? c->in_flight_call : c->units_call) = false;
-  // A failed or slow answer raises the price of calls and spaces them out; quick ones restore them without a burst.
+  // A failed or slow answer raises the price of calls and spaces them out; quick ones undo both without a burst.
   bool ok = answer.result == Result::kOk, was_unavailable = CounterUnavailable();
   bool quick = ok && now - call.sent < kSlowAnswerTimeouts * s_.count_timeout_s;
   consecutive_failures_ = ok ? 0 : consecutive_failures_ + 1;
@@ -186,7 +186,7 @@
     ApplyInFlight(c, call, answer, now);
   } else if (ok) {
     if (call.window == c->window) ApplyTotal(call.customer, c, call.amount, answer.total, now, out);
-    double overspent = std::clamp(answer.total - PlanOf(*c).burst, 0.0, PlanOf(*c).burst);  // rate x window
+    double overspent = std::clamp(answer.total - PlanOf(*c).burst, 0.0, PlanOf(*c).burst);  // burst is rate x window
     if (call.window + 1 == c->window && call.amount == 0) Charge(c, overspent, 1);
   } else {
     ++c->unsound_answers;
@@ -202,8 +202,9 @@
   return c.entries > 1 && (CounterUnavailable() || c.unsound_answers >= kUnsoundAnswerLimit);
 }
 
-// Estimated units a second that others send: the last report, decaying to the rate less this gateway's part, which is
-// its own rate and a part of the unused one, or its share of the sum. Parts add up to the quota, but for the least.
+// Estimated units per second that others send: the last report, decaying to the quota's rate minus this gateway's
+// part. That is its own rate plus kUnusedShareFactor even shares of the unused rate or, where none is unused, its
+// share of what all use. Parts of all gateways add up to the rate, except for that factor and kMinPartShare.
 double Quotas::OthersRate(const Customer& c) const {
   if (c.entries < 2) return 0;
   double rate = PlanOf(c).rate, sum = c.own_rate_mean + c.others_rate_mean,
@@ -237,10 +238,10 @@
   if (others > -1e-6 && amount > 0) c->unsound_answers = 0;
   c->window_read = true;
   c->sound_total_at = now;
-  // The first gateway to report in a window also reports the debt carried into it. Where it doesn't know it, it reads
-  // the window before, if that is worth a call; else the bucket is taken as full.
+  // The first gateway to report in a window also reports the debt carried into it. If it doesn't know that, it reads
+  // the count of the window before, where that is worth a call; else the bucket is taken as full.
   bool first = others < 1e-3 && total > 0 && total - amount < 1e-3;
-  // A gateway that carries more debt than others reported adds the rest, so that all settle on the largest.
+  // A gateway that carries more debt than others reported adds the rest, so that all settle on the largest debt.
   if (c->total_known) c->unreported += std::max(0.0, c->carried_debt - std::max(0.0, others));
   if (first && !c->total_known && (1 - c->within_quota_share) * ExcessLoss(p) >
       kCallsPerHold * s_.count_price + congestion_) {
@@ -316,9 +317,9 @@
   return now >= next_call_at_ || c.units_call || c.in_flight_call;
 }
 
-// Probability that others have fewer attempts in flight than the cap leaves free, by Poisson. The mean starts at the
-// last report and decays to the long-term one, but where that is stale, not below this gateway's own mean for each of
-// the others, so that without reports all gateways together come out near the cap.
+// Poisson probability that others have fewer attempts in flight than the cap leaves free. Its mean starts at the last
+// report and decays to the long-term mean. If the report is stale, that is at least this gateway's own mean times the
+// number of other gateways, so that without reports all gateways together come out near the cap.
 double Quotas::CapFreeProbability(const Customer& c, const PlanSettings& p, double span, double now) const {
   int free = p.parallel - c.in_flight;
   double still_out = c.others_in_flight_at < 0 ? 0 : std::exp(-(now - c.others_in_flight_at) / span);
