--- a/src/core/backend_table.cpp
+++ b/src/core/backend_table.cpp
@@ -44,7 +44,7 @@
   for (const auto& [id, backend] : backends_) {
     if (listed_ids.count(id) == 0) absent.push_back(id);
   }
-  std::sort(absent.begin(), absent.end());  // a deterministic order
+  std::sort(absent.begin(), absent.end());  // so that the order of the effects is deterministic
   for (uint32_t id : absent) Remove(id, now, out);
 }
 
@@ -54,7 +54,7 @@
   b.draining = false;
   if (inserted || b.address == address) return void(b.address = address);
   b.address = address;
-  std::vector<uint64_t> idle = b.idle;  // to the old address
+  std::vector<uint64_t> idle = b.idle;  // connections to the old address
   for (uint64_t connection : idle) Discard(connection, out);
 }
 
@@ -164,7 +164,8 @@
   out->push_back(CloseConnection{connection});
 }
 
-// Closes the connection before the outcome is reported, so that it can't overlap with a further attempt.
+// Closes the connection before the outcome is reported, so that this attempt can't overlap with a further
+// one.
 ExchangeResult BackendTable::EndExchange(uint64_t connection, Result result, Effects* out) {
   ExchangeResult end{connections_.at(connection).exchange, result};
   Discard(connection, out);
@@ -176,8 +177,8 @@
   auto it = connections_.find(connection);
   if (it == connections_.end() || it->second.state != State::kConnecting) return std::nullopt;
   Connection& c = it->second;
-  // Nothing is sent on a connection that came up too late: the attempt has timed out, the grace period of a
-  // drain is over, or the backend has moved to another address.
+  // Nothing is sent on a connection that was opened too late: the attempt has timed out, the grace period of
+  // a drain is over, or the backend has moved to another address.
   bool expired =
       now >= c.exchange.deadline || !MaySend(c.backend, now) || Find(c.backend)->address != c.address;
   if (expired) return EndExchange(connection, Result::kConnectFailed, out);
@@ -249,8 +250,8 @@
   auto it = connections_.find(connection);
   if (it == connections_.end()) return std::nullopt;
   Connection& c = it->second;
-  // The backend responded before the request was completely written: it has not run, and the framing can't be
-  // trusted.
+  // The backend responded before the request was completely written: the request has not run, and the
+  // connection's framing can't be trusted.
   if (c.state != State::kOpen || !c.written) return OnConnectionLost(now, connection, out);
   Backend* b = Find(c.backend);
   if (!reusable || b == nullptr || b->draining || b->address != c.address)
--- a/src/core/backend_table.h
+++ b/src/core/backend_table.h
@@ -1,6 +1,6 @@
 // Listed backends, their drains, and the connections to them: which connection an exchange gets, how the
-// exchange ends, and which connections are pooled or closed. Does no I/O and gets the time from its caller;
-// the choice of the backend for a request is the balancer's alone.
+// exchange ends, and which connections are pooled or closed. Does no I/O and gets the time from its caller.
+// The balancer alone chooses the backend for a request.
 #ifndef IVYGW_CORE_BACKEND_TABLE_H_
 #define IVYGW_CORE_BACKEND_TABLE_H_
 
@@ -17,7 +17,7 @@
 namespace ivygw::core {
 
 struct ConnectionLimits {
-  double idle_timeout_s = 0;  // the backends' own; 0: unknown
+  double idle_timeout_s = 0;  // after which backends close an idle connection; 0: unknown
   double connect_timeout_s = 0;
   double drain_grace_s = 0;  // how long a draining backend may still get new requests
   size_t max_connections = 1;
@@ -56,18 +56,20 @@
   // Cancel.
   uint64_t StartExchange(double now, uint32_t backend, uint32_t request, int attempt, double timeout_s,
                          TimerQueue* timers, Effects* out);
-  // Closes the exchange's connection at once. Returns whether the request may have run, or nothing if the
-  // exchange has ended already.
+  // Closes the exchange's connection at once. Returns whether the backend may have run the request, which is
+  // so if it was completely written, or nothing if the exchange has ended already.
   std::optional<bool> Cancel(uint64_t exchange, Effects* out);
 
   // Events of connections. Those of unknown connections are ignored.
   std::optional<ExchangeResult> OnConnectionOpened(double now, uint64_t connection, Effects* out);
-  // Also reports a failed connect.
+  // The connection was lost or could not be opened.
   std::optional<ExchangeResult> OnConnectionLost(double now, uint64_t connection, Effects* out);
+  // The backend had closed a reused connection before the request was written to it: moves the exchange to
+  // another connection, or ends it if none is available.
   std::optional<ExchangeResult> OnConnectionStale(double now, uint64_t connection, TimerQueue* timers,
                                                   Effects* out);
-  // The last byte of the request is written: from now on it may have run. Returns false if no exchange on
-  // this connection is being written.
+  // The last byte of the request is written: from now on the backend may have run the request. Returns false
+  // if no exchange on this connection is being written.
   bool OnRequestWritten(uint64_t connection);
   // A complete response. `reusable`: the connection can carry another request.
   std::optional<ExchangeResult> OnResponse(double now, uint64_t connection, micadock::Result result,
@@ -75,11 +77,12 @@
   // `kind` is kConnectTimeout or kAttemptTimeout.
   std::optional<ExchangeResult> OnTimeout(double now, TimerKind kind, uint64_t exchange, Effects* out);
 
-  uint32_t RequestOf(uint64_t connection) const;  // the request of its exchange; 0: none
+  uint32_t RequestOf(uint64_t connection) const;  // the request of the connection's exchange; 0: none
   // A successful response has started: the attempt's timeout no longer applies. Returns the exchange, or
   // nothing if none on this connection waits for a response.
   std::optional<Exchange> OnResponseStarted(uint64_t connection);
-  // Replaces the deadline of an exchange when the client's timeout starts.
+  // Replaces the deadline of an exchange. Called when the client's timeout starts because the request's body
+  // is complete.
   void SetDeadline(uint64_t exchange, double deadline, TimerQueue* timers);
   bool HasResponseStarted(uint64_t exchange) const;
   bool IsInFlight(uint64_t exchange) const { return in_flight_.count(exchange) != 0; }
@@ -113,8 +116,8 @@
   struct Backend {
     uint64_t address = 0;
     bool draining = false;
-    double no_send_after = 0;    // of a draining backend
-    std::vector<uint64_t> idle;  // connections, the most recently used last
+    double no_send_after = 0;    // while draining: no request is sent from this time on
+    std::vector<uint64_t> idle;  // idle connections, the most recently used last
   };
 
   void SetReady(uint32_t backend, uint64_t address, Effects* out);
@@ -124,14 +127,14 @@
   // Gives the exchange a connection; returns 0 if none is available.
   uint64_t AssignConnection(double now, const Exchange& exchange, TimerQueue* timers, Effects* out);
   bool ReserveConnection(Effects* out);
-  void Discard(uint64_t connection, Effects* out);  // closes it in any state
+  void Discard(uint64_t connection, Effects* out);  // closes the connection in any state
   ExchangeResult EndExchange(uint64_t connection, micadock::Result result, Effects* out);
 
   const ConnectionLimits limits_;
   std::unordered_map<uint32_t, Backend> backends_;  // listed by discovery and not gone
   std::unordered_map<uint64_t, Connection> connections_;
-  std::unordered_map<uint64_t, uint64_t> in_flight_;  // exchange to its connection
-  std::list<uint64_t> idle_;                          // longest idle first
+  std::unordered_map<uint64_t, uint64_t> in_flight_;  // from an exchange's number to its connection's
+  std::list<uint64_t> idle_;                          // idle connections, the longest idle first
   uint64_t last_connection_ = 0, last_exchange_ = 0;
 };
 
--- a/src/core/ban_table.h
+++ b/src/core/ban_table.h
@@ -1,7 +1,7 @@
-// Applies operators' bans to the backend list from discovery: computes the state of each backend that the
-// balancer and the backend table see, whatever discovery reports during a ban. A banned backend is draining.
-// After its ban it counts as just started, because it may have been restarted meanwhile and discovery reports
-// that seconds late. Does no I/O.
+// Applies operators' bans to the backend list from discovery: computes, for each backend, the state that the
+// balancer and the backend table see. A banned backend that discovery lists as ready is passed on as
+// draining. When its ban is lifted it counts as just started, because it may have been restarted during the
+// ban and discovery reports a restart seconds late. Does no I/O.
 #ifndef IVYGW_CORE_BAN_TABLE_H_
 #define IVYGW_CORE_BAN_TABLE_H_
 
@@ -20,9 +20,9 @@
   // backends that are not in the list are gone.
   std::vector<ListedBackend> ApplyList(bool full, const std::vector<ListedBackend>& entries);
 
-  // Begin or end a ban. Return the backend's new state, or nothing if it hasn't changed: the backend is not
-  // listed, is draining anyway, or was already (or was not) banned. A backend that was never listed may be
-  // banned too.
+  // Ban begins a ban and Lift ends it. Both return the backend with its new state, or nothing if the state
+  // hasn't changed: the backend is not listed, is draining by discovery's list, was banned before (Ban), or
+  // was not banned (Lift). A backend that was never listed may be banned too.
   std::optional<ListedBackend> Ban(uint32_t backend, double now);
   std::optional<ListedBackend> Lift(uint32_t backend, double now);
 
@@ -31,8 +31,9 @@
   size_t listed_and_banned() const;                 // only backends that discovery lists as ready
 
  private:
-  std::unordered_map<uint32_t, ListedBackend> listed_;  // as last reported by discovery, without those gone
-  std::unordered_map<uint32_t, double> banned_;         // start time of each ban
+  // Backends as discovery last reported them, without those that are gone.
+  std::unordered_map<uint32_t, ListedBackend> listed_;
+  std::unordered_map<uint32_t, double> banned_;  // start time of each ban
 };
 
 }  // namespace ivygw::core
--- a/src/core/counter_call_table.h
+++ b/src/core/counter_call_table.h
@@ -1,5 +1,5 @@
-// Calls to the shared counter. Each ends exactly once, as added, not added, or possibly added. Does no I/O;
-// the driver owns the connections.
+// Calls to the shared counter. Each ends exactly once, with its amount added, not added, or possibly
+// added. Does no I/O; the driver owns the connections.
 #ifndef IVYGW_CORE_COUNTER_CALL_TABLE_H_
 #define IVYGW_CORE_COUNTER_CALL_TABLE_H_
 
@@ -39,6 +39,7 @@
     if (it == calls_.end()) return std::nullopt;
     return End(call, it->second.written ? micadock::Result::kTimeout : micadock::Result::kConnectFailed, 0);
   }
+  // A call that was not written ends as not added, and is cancelled so that it isn't written later.
   std::optional<micadock::CountAnswer> OnTimeout(uint64_t call, Effects* out) {
     auto it = calls_.find(call);
     if (it == calls_.end()) return std::nullopt;
--- a/src/core/drain.h
+++ b/src/core/drain.h
@@ -1,6 +1,6 @@
-// The stages of a drain that an operator starts and may end at any time. At once the gateway is not ready and
-// disables keep-alive for its clients; after a delay, in which new clients still connect, idle connections
-// are closed. Does no I/O.
+// The stages of a drain of the gateway, which an operator starts and may end at any time. When the drain
+// begins, the gateway reports that it is not ready and disables keep-alive for its clients. After a delay, in
+// which new clients may still connect, idle client connections are closed. Does no I/O.
 #ifndef IVYGW_CORE_DRAIN_H_
 #define IVYGW_CORE_DRAIN_H_
 
@@ -11,7 +11,7 @@
 
 class Drain {
  public:
-  // Both return false if nothing changes; a second Begin doesn't restart the delay.
+  // Begin and End return false if nothing changes; a second Begin doesn't restart the delay.
   bool Begin(double now) {
     if (on()) return false;
     close_idle_at_ = now + kDrainIdleCloseDelayS;
--- a/src/core/driver.h
+++ b/src/core/driver.h
@@ -18,8 +18,8 @@
 template <typename Port>
 class Driver {
  public:
-  // Observes each event with its effects before they are executed. The first call has no event, and the
-  // effects of the core's construction.
+  // Observes each event with its effects before they are executed. The first call has no event and reports
+  // the effects of the core's construction.
   using Tap = std::function<void(double now, const Event* event, const Effects& effects)>;
 
   // The effects of the core's construction are executed with those of the first event.
@@ -29,7 +29,8 @@
     if (tap_) tap_(now, nullptr, effects_);
   }
 
-  // Handles the event now, or after the one that is being handled.
+  // Handles the event now. If called while another event is being handled, queues it to be handled after that
+  // one.
   void Dispatch(Event event) {
     if (running_) return queued_.push_back(std::move(event));
     running_ = true;
--- a/src/core/effects.h
+++ b/src/core/effects.h
@@ -16,8 +16,8 @@
   uint32_t request = 0;
   uint64_t client = 0;
 };
-// Sends the only final response to `client`. With status 200 it is the response that the last event reported
-// on `connection`.
+// Sends the request's only final response to `client`. With status 200 it is the response that the last event
+// reported on `connection`.
 struct SendResponse {
   uint64_t client = 0;
   uint32_t request = 0;
@@ -25,7 +25,8 @@
   double retry_after_s = 0;  // 0: none
   uint64_t connection = 0;   // 0: none
 };
-// Starts streaming the only final response to `client` from `connection`, including what has been read of it.
+// Starts streaming the request's only final response from `connection` to `client`, including the part that
+// has been read already.
 struct StartResponse {
   uint64_t client = 0;
   uint32_t request = 0;
@@ -36,7 +37,7 @@
   uint64_t client = 0;
   uint32_t request = 0;
 };
-// Nothing of the request is open any more: the driver may free its body.
+// The request is answered and has no attempt in flight: the driver may free its body.
 struct ReleaseRequest {
   uint32_t request = 0;
 };
@@ -65,12 +66,13 @@
   uint64_t call = 0, name = 0;
   double amount = 0, ttl_s = 0;
 };
-// The call has been reported as not added and must not be sent any more.
+// The balancer has been told that the call's amount was not added: the call must not be sent any more.
 struct CancelCounterCall {
   uint64_t call = 0;
 };
 
-// Makes the intent of an attempt durable; the attempt waits for IntentResolved.
+// Makes the intent of an attempt durable: a write-ahead record that the request is about to be sent to
+// `backend`. Nothing of the attempt is sent before IntentResolved.
 struct RecordIntent {
   uint32_t request = 0;
   int attempt = 0;
@@ -86,7 +88,7 @@
 struct Log {
   std::string text;
 };
-struct SubscribeToDiscovery {};        // follow the discovery service
+struct SubscribeToDiscovery {};        // start to follow the discovery service
 struct DisableClientKeepAlive {};      // each further response closes its client's connection
 struct EnableClientKeepAlive {};       // ends DisableClientKeepAlive
 struct CloseIdleClientConnections {};  // close connections on which no request has begun
--- a/src/core/events.h
+++ b/src/core/events.h
@@ -17,16 +17,17 @@
 // A valid request of a client.
 struct RequestArrived {
   uint64_t client = 0;  // chosen by the driver; a client has one request at a time
-  std::string id;       // chosen by the client; must not be open (GatewayCore::IsOpen)
+  std::string id;       // chosen by the client; no open request may have it (GatewayCore::IsOpen)
   int cls = 0, plan = 0;
   uint64_t customer = 0;
   double units = 0, entries = 1;
   double timeout_s = 0;  // the client's timeout, which starts now or when the body is complete
   double body_s = 0;     // how long the body may still take to arrive; 0 if it is complete
-  // Each attempt must be made durable before its first byte is sent: the core asks with RecordIntent and
-  // waits for IntentResolved.
+  // Each attempt needs a durable write-ahead record, its intent, before its first byte is sent: the core asks
+  // for it with RecordIntent and waits for IntentResolved.
   bool recorded = false;
-  // Set for a request taken over from another gateway, with what is known of its attempts there.
+  // `resumed`: the request was taken over from another gateway. `may_have_run` and the fields below say what
+  // is known of its attempts there.
   bool resumed = false, may_have_run = false;
   double ran_age_s = 0;  // time since the first attempt that may have run
   int ran_zone = 0, ran_cell = 0;
@@ -88,7 +89,7 @@
 struct BodyCompleted {
   uint32_t request = 0;
 };
-// What the previous process of this gateway had learned about the backends.
+// Restores what the previous process of this gateway had learned about the backends.
 struct LearnedStateRestored {
   micadock::LearnedState learned;
 };
@@ -102,14 +103,15 @@
   bool on = false;
 };
 
-// The attempt's intent is durable (`ok`), or the attempt must not be made.
+// Reply to RecordIntent. `ok`: the attempt may be sent, since its intent is durable or the request needs none
+// any more. Otherwise the attempt must not be made.
 struct IntentResolved {
   uint32_t request = 0;
   int attempt = 0;
   bool ok = false;
 };
-// The client's request now belongs to another gateway or has been answered: this one sends nothing more to
-// backends or to the client.
+// The client's request now belongs to another gateway or is answered without the core: the core sends nothing
+// more for it to backends or to the client.
 struct RequestWithdrawn {
   uint64_t client = 0;
 };
@@ -119,8 +121,8 @@
   bool counted = true;
 };
 
-// Grants this gateway a share of a customer's lent ceiling for `seconds` from now, replacing the previous
-// grant.
+// Grants this gateway `share`, from 0 to 1, of the part of the customer's ceiling (its hard rate limit) that
+// gateways hold by lease. The grant is valid for `seconds` from now and replaces the previous one.
 struct QuotaShareGranted {
   uint64_t customer = 0;
   double share = 0, seconds = 0;
--- a/src/core/gateway_core.cpp
+++ b/src/core/gateway_core.cpp
@@ -21,7 +21,8 @@
       counter_calls_(kCounterTimeoutFactor * settings.policy.count_timeout_s) {
   stats_.classes.resize(settings.policy.classes.size());
   balancer_.emplace(settings_.policy, settings_.seed, now, &actions_);
-  CallBalancer(now, out, [](Balancer&, double, Actions*) {});  // executes the actions of its constructor
+  // Executes the actions of the balancer's constructor.
+  CallBalancer(now, out, [](Balancer&, double, Actions*) {});
   FinishEvent(now, out);
 }
 
@@ -105,8 +106,8 @@
   state->recorded = arrival.recorded;
   timers_.Add(deadline, TimerKind::kRequestDeadline, id);
   out->push_back(RegisterRequest{id, arrival.client});
-  // Refused before anything is sent to a backend, so that the client can go to another gateway: if accepted,
-  // it might be cut off by the shutdown.
+  // The shutdown might cut the request off. It is refused before anything is sent to a backend, so that the
+  // client can go to another gateway.
   if (!arrival.resumed && shutdown_.CutsOff(deadline)) {
     Respond(id, 503, 0, 0, out);
     FinishEvent(now, out);
@@ -176,7 +177,8 @@
 void GatewayCore::OnResponseStarted(double now, uint64_t connection, Effects* out) {
   uint32_t request = backends_.RequestOf(connection);
   const RequestState* state = requests_.Find(request);
-  // Not valid for a request that is not completely written or has been answered.
+  // A response to a request that is not completely written or has been answered is invalid: its connection is
+  // closed.
   std::optional<Exchange> exchange;
   if (state != nullptr && !state->answered) exchange = backends_.OnResponseStarted(connection);
   if (!exchange) return OnConnectionLost(now, connection, out);
@@ -216,8 +218,9 @@
   return Result::kOk;
 }
 
-// Ignored for an attempt that doesn't wait for its intent. If the request has been answered meanwhile, or the
-// attempt cancelled, nothing is sent and the attempt is known never to have run.
+// Does nothing for an attempt that doesn't wait for its intent. If `ok` is false, or if meanwhile the request
+// has been answered, the start of its body discarded, the attempt cancelled or its time used up, nothing is
+// sent and the attempt is known never to have run.
 void GatewayCore::OnIntentResolved(double now, uint32_t request, int attempt, bool ok, Effects* out) {
   RequestState* state = requests_.Find(request);
   size_t at = static_cast<size_t>(attempt);
@@ -241,14 +244,15 @@
   FinishEvent(now, out);
 }
 
-// Closes the connection before anything else is sent. A request that was not completely written has not run.
+// Closes the attempt's connection before anything else is sent. A request that was not completely written has
+// not run.
 void GatewayCore::CancelAttempt(const Action& action, Effects* out) {
   RequestState* state = requests_.Find(action.request);
   size_t attempt = static_cast<size_t>(action.attempt);
   if (state == nullptr || attempt >= state->attempts.size() || !state->attempts[attempt].in_flight) return;
   state->attempts[attempt].cancelled = true;
   std::optional<bool> ran = backends_.Cancel(state->attempts[attempt].exchange, out);
-  if (!ran) return;  // its own outcome will be reported
+  if (!ran) return;  // the outcome of its exchange or intent will be reported
   deferred_outcomes_.push_back(
       {action.request, action.attempt, *ran ? Result::kCancelled : Result::kNeverSent});
 }
@@ -317,8 +321,8 @@
 }
 
 void GatewayCore::OnConnectionOpened(double now, uint64_t connection, Effects* out) {
-  // The request was answered while its connection was being opened, and the balancer did not cancel the
-  // attempt, or the start of its body is gone: nothing may be sent.
+  // Nothing may be sent if the start of the request's body is no longer buffered, or if the request was
+  // answered while its connection was being opened and the balancer did not cancel the attempt.
   const RequestState* state = requests_.Find(backends_.RequestOf(connection));
   if (state != nullptr && (state->answered || state->body_discarded))
     return OnConnectionLost(now, connection, out);
@@ -366,7 +370,7 @@
   if (changed) {
     ApplyList(now, ListKind::kDelta, {*changed}, out);
   } else if (banned) {
-    backends_.EndDrainGrace(backend, now);  // it is draining already: its grace period ends
+    backends_.EndDrainGrace(backend, now);  // a backend that is draining already loses its grace period
   }
   FinishEvent(now, out);
 }
@@ -388,7 +392,7 @@
 }
 
 void GatewayCore::OnDiscoveryFailed(double now, Effects* out) {
-  ready_ = true;  // with the last known list
+  ready_ = true;  // the gateway serves with the last known list
   CallBalancer(now, out, [](Balancer& b, double at, Actions* actions) {
     b.OnList(at, ListKind::kFailed, {}, actions);
   });
@@ -415,7 +419,7 @@
     case TimerKind::kRequestDeadline: {
       const RequestState* state = requests_.Find(static_cast<uint32_t>(timer.id));
       return state == nullptr || state->answered ||
-             timer.at < state->deadline;  // moved, or another request with this number
+             timer.at < state->deadline;  // the deadline was moved, or the number is another request's now
     }
     case TimerKind::kConnectTimeout: return !backends_.IsConnecting(timer.id);
     case TimerKind::kAttemptTimeout:
@@ -459,8 +463,9 @@
   FinishEvent(now, out);
 }
 
-// Reports the results of the balancer's own actions until none is left. This terminates because the number of
-// attempts per request is limited and the balancer calls a missing counter less and less often.
+// Reports the deferred results of the balancer's actions, which may cause further ones, until none is left,
+// and then emits the effects of a drain or shutdown. The loop terminates because the number of attempts per
+// request is limited and the balancer calls a missing counter less and less often.
 void GatewayCore::FinishEvent(double now, Effects* out) {
   while (!deferred_outcomes_.empty() || !unsent_counter_calls_.empty()) {
     if (!deferred_outcomes_.empty()) {
--- a/src/core/gateway_core.h
+++ b/src/core/gateway_core.h
@@ -45,7 +45,7 @@
 
   void Handle(double now, const Event& event, Effects* out);  // calls the method for the event
 
-  // Clients. OnRequest returns the request's number, which its first effect, RegisterRequest, has too.
+  // Clients. OnRequest returns the request's number, which RegisterRequest, its first effect, carries too.
   bool IsOpen(const std::string& id) const { return requests_.IsOpen(id); }
   uint32_t OnRequest(double now, const RequestArrived& arrival, Effects* out);
   void OnClientDisconnected(double now, uint64_t client, Effects* out);
@@ -65,7 +65,8 @@
   void OnBodyCompleted(double now, uint32_t request, Effects* out);
   void OnResponseStarted(double now, uint64_t connection, Effects* out);
 
-  // Recorded requests, which another gateway can take over, and the fleet.
+  // The fleet, and recorded requests: their attempts have durable write-ahead records (intents), so that
+  // another gateway can take them over.
   void OnIntentResolved(double now, uint32_t request, int attempt, bool ok, Effects* out);
   void OnRequestWithdrawn(double now, uint64_t client, Effects* out);
   void OnFleetSizeChanged(int gateways, bool counted) { balancer_->OnFleet(gateways, counted); }
@@ -81,7 +82,7 @@
   void OnCounterCallLost(double now, uint64_t call, Effects* out);
 
   // Timers. OnTimerExpired has to be called at NextDue or soon after; an early call does nothing. NextDue
-  // only drops obsolete timers, which no event can observe.
+  // changes nothing except that it drops obsolete timers, which no event can observe.
   double NextDue(double now);
   void OnTimerExpired(double now, Effects* out);
 
@@ -90,14 +91,16 @@
   bool ready() const { return accepting() && !shutdown_.begun(); }
 
   // Operators. A ban is a drain without grace period, and the backend need not be listed; bans don't nest. A
-  // drain of the gateway makes it not ready and lets it finish its connections.
+  // drain of the gateway makes it not ready, disables client keep-alive, and later closes idle client
+  // connections.
   void OnBanChanged(double now, uint32_t backend, bool banned, Effects* out);
   void OnDrainChanged(double now, bool on, Effects* out);
-  bool serving() const { return ready_; }                    // able to serve, also during a drain or shutdown
-  bool accepting() const { return ready_ && !drain_.on(); }  // ready, unless a shutdown has begun
+  bool serving() const { return ready_; }  // discovery has responded or failed; also in a drain or shutdown
+  bool accepting() const { return ready_ && !drain_.on(); }  // serving, and no drain is on
   bool draining() const { return drain_.on(); }
   const Stats& stats() const { return stats_; }
-  // The number of listed backends that are not used now: banned, or set aside by the balancer.
+  // The number of listed backends that are not used now: banned by an operator, or ejected by the balancer as
+  // outliers.
   size_t UnavailableBackends(double now) const;
   // Upgrades: what the balancer has learned of the backends, to be restored in the next process.
   micadock::LearnedState LearnedState(double now) const { return balancer_->ExportLearned(now); }
@@ -112,8 +115,8 @@
   size_t timers() const { return timers_.size(); }
 
  private:
-  // An outcome that an action of the balancer caused at once; reported after the balancer's call has
-  // returned.
+  // The outcome of an attempt that was known as soon as the balancer's action was executed. It is reported
+  // after the balancer's call has returned.
   struct DeferredOutcome {
     uint32_t request = 0;
     int attempt = 0;
@@ -126,7 +129,7 @@
                  Effects* out);
   void ExecuteAction(double now, micadock::Action& action, Effects* out);
   void StartAttempt(double now, const micadock::Action& action, Effects* out);
-  // Starts the attempt's exchange. Returns kOk, or why it can't be sent.
+  // Starts the attempt's exchange. Returns kOk, or kConnectFailed if no connection is available.
   micadock::Result SendAttempt(double now, uint32_t request, int attempt, double timeout_s, Effects* out);
   void CancelAttempt(const micadock::Action& action, Effects* out);
   void OnExchangeEnd(double now, const std::optional<ExchangeResult>& end, double true_units, Effects* out);
@@ -136,7 +139,7 @@
   void Respond(uint32_t request, int status, double retry_after_s, uint64_t connection, Effects* out);
   void ReleaseIfFinished(uint32_t request, Effects* out);
   void OnRequestDeadline(double now, uint32_t request, Effects* out);
-  bool IsObsolete(const TimerQueue::Timer& timer) const;  // what it was for has ended
+  bool IsObsolete(const TimerQueue::Timer& timer) const;  // whether what the timer was set for has ended
   void FinishEvent(double now, Effects* out);             // called at the end of every event
 
   const CoreSettings settings_;
@@ -149,7 +152,7 @@
   Shutdown shutdown_;
   Drain drain_;
   std::deque<DeferredOutcome> deferred_outcomes_;
-  std::deque<uint64_t> unsent_counter_calls_;  // names of calls made without a counter
+  std::deque<uint64_t> unsent_counter_calls_;  // names of counter calls made though there is no counter
   uint32_t reporting_ = 0;                     // the request whose outcome is being reported
   bool ready_ = false;
   micadock::Actions actions_, executing_;
--- a/src/core/request_table.h
+++ b/src/core/request_table.h
@@ -1,5 +1,5 @@
-// Open requests: from their arrival to the only final response, and until their last attempt has ended. Does
-// no I/O, has no clock, and decides nothing about backends.
+// Open requests. A request is open from its arrival until its only final response has been sent and its last
+// attempt has ended. Does no I/O, has no clock, and decides nothing about backends.
 #ifndef IVYGW_CORE_REQUEST_TABLE_H_
 #define IVYGW_CORE_REQUEST_TABLE_H_
 
@@ -26,21 +26,22 @@
   double started_at = 0;
   bool in_flight = true;         // its outcome has not been reported yet
   bool cancelled = false;        // by the balancer
-  bool awaiting_intent = false;  // waits until its intent is durable
-  double timeout_s = 0;          // of an attempt that waits so, counted from `started_at`
+  bool awaiting_intent = false;  // nothing is sent until its intent, a write-ahead record, is durable
+  double timeout_s = 0;          // while it awaits its intent: its timeout, counted from `started_at`
 };
 
 struct RequestState {
   uint64_t client = 0;
   std::string id;  // chosen by the client
   int cls = 0;
-  double deadline = 0;            // when the core itself responds, on the core's clock
-  bool side_effect_free = false;  // by its class
+  // When the core itself responds if no response has been sent by then, on the core's clock.
+  double deadline = 0;
+  bool side_effect_free = false;  // according to its class
   std::vector<Attempt> attempts;
-  double timeout_s = 0;  // the client's timeout from when the body is complete
+  double timeout_s = 0;  // the client's timeout, counted from when the body is complete
   bool body_complete = true;
-  bool body_discarded = false;  // its start is no longer buffered
-  bool recorded = false;        // its attempts are made durable before they are sent
+  bool body_discarded = false;  // the start of its body is no longer buffered
+  bool recorded = false;        // the intent of each attempt is made durable before the attempt is sent
   bool answered = false, may_have_run = false;
   bool streaming = false;  // the final response has started and is not complete
   int stream_attempt = 0;  // the attempt whose response is streamed
@@ -55,7 +56,8 @@
   // before the first one.
   explicit RequestTable(uint32_t last_number = 0) : last_number_(last_number) {}
 
-  // Whether a request with this id is open or has an attempt in flight. A second one could not be told apart.
+  // Whether a request with this id is open or has an attempt in flight. A second request with the same id
+  // could not be told apart from it.
   bool IsOpen(const std::string& id) const { return ids_.count(id) != 0; }
   uint32_t Add(uint64_t client, std::string id, int cls, double deadline, bool side_effect_free);
   RequestState* Find(uint32_t request);
@@ -70,9 +72,10 @@
   // Starts the final response as a stream, which lasts until EndStream. Returns false if the request was
   // answered before.
   bool BeginStream(uint32_t request, int attempt);
-  void EndStream(uint32_t request);             // whether or not it was complete
+  void EndStream(uint32_t request);             // whether or not the response was complete
   uint32_t StreamingTo(uint64_t client) const;  // the request whose response is streamed to the client, or 0
-  // The status to respond with at the deadline: 503 if the request can't have run, 504 if it may have.
+  // The status to respond with at the deadline: 503 if the client can safely repeat the request, since it has
+  // no side effects or can't have run; 504 if it may have run.
   static int TimeoutStatus(const RequestState& state) {
     return state.side_effect_free || (!state.may_have_run && !state.HasAttemptInFlight()) ? 503 : 504;
   }
--- a/src/core/shutdown.h
+++ b/src/core/shutdown.h
@@ -1,5 +1,5 @@
-// The stages of a graceful shutdown: clients may still connect for a while, then idle connections are closed,
-// then open requests may finish until a time limit. Does no I/O.
+// The stages of a graceful shutdown: clients may still connect for a while, then idle client connections are
+// closed, then open requests may finish until a time limit. Does no I/O.
 #ifndef IVYGW_CORE_SHUTDOWN_H_
 #define IVYGW_CORE_SHUTDOWN_H_
 
@@ -19,10 +19,12 @@
     return true;
   }
   bool begun() const { return close_idle_at_ != kNever; }
-  bool closing_idle(double now) const { return now >= close_idle_at_; }  // clients no longer connect
+  // Whether idle client connections are to be closed. This assumes that clients have stopped opening
+  // connections by then (kShutdownIdleCloseDelayS); nothing here refuses new ones.
+  bool closing_idle(double now) const { return now >= close_idle_at_; }
   // Whether the end of the shutdown may cut off a request with this deadline.
   bool CutsOff(double deadline) const { return begun() && deadline > stop_at_; }
-  bool expired(double now) const { return now >= stop_at_; }  // open requests get no more time
+  bool expired(double now) const { return now >= stop_at_; }  // the gateway stops even if requests are open
   double next(double now) const { return closing_idle(now) ? stop_at_ : close_idle_at_; }
 
  private:
--- a/src/core/stats.h
+++ b/src/core/stats.h
@@ -7,7 +7,8 @@
 
 namespace ivygw::core {
 
-// Answered requests of one class: served, refused, and all others.
+// Final responses to requests of one class: `success` counts status 200, `busy` counts 429 and 503, `failure`
+// counts all others.
 struct ClassStats {
   uint64_t success = 0, busy = 0, failure = 0;
 };
--- a/src/core/timer_queue.h
+++ b/src/core/timer_queue.h
@@ -27,7 +27,7 @@
     double at;
     uint64_t sequence;  // orders timers of the same due time by their insertion
     TimerKind kind;
-    uint64_t id;  // of what the timer is for, depending on `kind`
+    uint64_t id;  // by `kind`: the number of a request, exchange or counter call, or the balancer's tag
     bool operator>(const Timer& other) const {
       return at != other.at ? at > other.at : sequence > other.sequence;
     }
@@ -44,8 +44,8 @@
     return timers_.top().at;
   }
   size_t size() const { return timers_.size(); }
-  // Removes and returns the timers that are due at `now`. Those added while they are handled wait for the
-  // next call.
+  // Removes and returns the timers that are due at `now`. Timers that are added while the returned ones are
+  // handled wait for the next call.
   std::vector<Timer> TakeExpired(double now) {
     std::vector<Timer> expired;
     while (!timers_.empty() && timers_.top().at <= now) {
--- a/src/fleet/node.cpp
+++ b/src/fleet/node.cpp
@@ -59,7 +59,8 @@
       make, [mailbox](std::function<void()> task) { mailbox->Post(std::move(task)); });
 }
 
-// Runs a NodeAgent on an event loop. Tasks posted before its destruction are dropped after it.
+// Runs a NodeAgent on an event loop. Posted tasks that are still queued when the Node is destroyed are not
+// run.
 class Node : public FleetPort {
  public:
   Node(asio::io_context& io, const Config& config, FleetEvents events)
--- a/src/fleet/node.h
+++ b/src/fleet/node.h
@@ -1,4 +1,5 @@
-// Runs the NodeAgent of one gateway on an event loop, with the configured engine. Not thread-safe.
+// Runs the NodeAgent of one gateway on an event loop, with the shared engine that is configured. Not
+// thread-safe.
 #ifndef IVYGW_FLEET_NODE_H_
 #define IVYGW_FLEET_NODE_H_
 
--- a/src/fleet/node_agent.cpp
+++ b/src/fleet/node_agent.cpp
@@ -16,7 +16,7 @@
 using membership::Membership;
 using shared::Reply;
 
-constexpr double kLeaveTimeoutS = 0.5;  // how long Left waits for the engine
+constexpr double kLeaveTimeoutS = 0.5;  // how long Left waits for pending calls to the engine
 constexpr double kFailureLogIntervalS = 5;
 
 membership::Options MembershipOptionsFrom(const Config& config) {
@@ -221,8 +221,8 @@
   return ledger::Book::Right{membership_.Right(), membership_.fence().revision};
 }
 
-// Handles one event of the components, then carries out the calls and decisions that it produced. Events that
-// arrive from within that loop only add to the queues.
+// Passes one event to the components, then carries out the calls and decisions that the event produced. An
+// event that arrives while they are carried out only adds to the queues, which the outer call empties.
 template <typename Event>
 void NodeAgent::Dispatch(Event event) {
   event(env_.now());
@@ -273,7 +273,7 @@
   });
 }
 
-// Events for the gateway are posted, since one of its own calls may be on the stack.
+// Events for the gateway are posted, since this may run within one of the gateway's calls of the agent.
 void NodeAgent::Apply(ledger::Admit& a) {
   FleetEvents::Admission admission;
   admission.client = a.client;
@@ -289,8 +289,9 @@
 void NodeAgent::Apply(ledger::Tell& t) {
   env_.post([this, t] { events_.tell(t.client, t.status, t.retry_after_s, t.type, t.body, t.why); });
 }
-// If the lease has ended since the intent was made durable, nothing is sent: another gateway may have taken
-// the request over. A pause after this check, while the attempt is being written, remains possible.
+// If this gateway's membership is no longer certain, for instance because its lease has ended after the
+// intent was made durable, nothing is sent: another gateway may have taken the request over. The process may
+// still be paused between this check and the writing of the attempt.
 void NodeAgent::Apply(ledger::IntentTold& t) {
   env_.post([this, t] {
     StopPoint("is to send");
@@ -308,8 +309,8 @@
 }
 
 // Reports changed shares to the gateway before the calls that came with them go to the engine: a released
-// share must no longer be used when another gateway may take it. The remaining seconds are computed on
-// delivery.
+// share must no longer be used when another gateway may take it. The seconds for which a share remains valid
+// are computed when the report is delivered.
 void NodeAgent::ProcessShareLeases() {
   for (const parts::ShareLeaseManager::ShareUpdate& update : lease_manager_.TakeUpdates(env_.now())) {
     env_.post([this, update] {
@@ -326,7 +327,8 @@
   }
 }
 
-// Acts on changes of the membership view.
+// Acts on changes of the membership view: reports the size of the fleet to the gateway, delays requests for
+// shares, logs the gateway's own membership, and tells the ledger which members are gone.
 void NodeAgent::ApplyMembershipView() {
   double now = env_.now();
   std::pair<int, bool> view{std::max(1, membership_.Number(now)), membership_.Counts(now)};
@@ -334,8 +336,8 @@
     reported_view_ = view;
     env_.post([this, view] { events_.fleet(view.first, view.second); });
   }
-  // Shares whose records the engine has lost stay in use until their leases end; nothing new is requested for
-  // that time.
+  // Gateways go on using shares whose records the engine has lost until their leases end, so no share is
+  // requested for the time of a lease.
   bool joined = membership_.phase() != phase_ && membership_.phase() == membership::Phase::kMember;
   bool lost = std::exchange(engine_losses_, membership_.watermark().losses()) != engine_losses_;
   if (joined || lost) leases_allowed_from_ = now + config_.fleet->lease_s;
@@ -359,7 +361,8 @@
   }
   for (const std::string& boot : std::exchange(live_boots_, boots)) {
     if (boots.count(boot) != 0 || boot.empty()) continue;
-    // Rendezvous hashing: each request falls to the live member with the highest hash of request and name.
+    // Rendezvous hashing: each request is taken over by the live member with the highest hash of the
+    // request and the member's name.
     book_.OnGone(
         now, boot,
         [live, own_name = config_.name](const std::string& request) {
--- a/src/fleet/node_agent.h
+++ b/src/fleet/node_agent.h
@@ -1,7 +1,8 @@
 // Connects one gateway to its fleet: drives its membership, its ledger of idempotent requests and its share
-// leases, sends their calls to the shared engine, and reports the results to the gateway. Has no I/O and no
-// clock of its own: driven by an event loop (node.h) or by virtual time. Keeps no records beyond those of its
-// three components. Not thread-safe.
+// leases, sends their calls to the shared engine (shared/engine.h), a key-value store that all gateways of
+// the fleet use, and reports the results to the gateway. Has no I/O and no clock of its own: driven by an
+// event loop (node.h) or by virtual time. Keeps no records beyond those of its three components. Not
+// thread-safe.
 #ifndef IVYGW_FLEET_NODE_AGENT_H_
 #define IVYGW_FLEET_NODE_AGENT_H_
 
@@ -24,15 +25,16 @@
   std::function<double()> random_unit;  // uniform in [0, 1)
   // Replies once, asynchronously, and never after the agent has been destroyed.
   std::function<void(shared::Call, std::function<void(const shared::Reply&)>)> call_engine;
-  std::function<void(std::function<void()>)>
-      post;                                   // runs the task later; never after the agent has been destroyed
-  std::function<void(double due)> set_timer;  // calls OnTimer at `due`; replaces the timer set before
+  // Runs the task later; never after the agent has been destroyed.
+  std::function<void(std::function<void()>)> post;
+  // Calls OnTimer at `due`. Replaces the timer set before, unless that one is due earlier.
+  std::function<void(double due)> set_timer;
   std::function<void(const std::string& text)> log;
 };
 
 class NodeAgent : public FleetPort {
  public:
-  // `boot`: globally unique id of this start of the process. `config` must have a section `fleet` and outlive
+  // `boot`: globally unique id of this run of the process. `config` must have a section `fleet` and outlive
   // the agent.
   NodeAgent(const Config& config, const std::string& boot, FleetEvents events, NodeAgentEnvironment env);
 
@@ -90,7 +92,8 @@
   std::pair<int, bool> reported_view_{0, true};
   membership::Phase phase_ = membership::Phase::kOut;
   uint64_t engine_losses_ = 0;
-  // No share is requested before: one lease after joining, or after the engine was found to have lost writes.
+  // No share is requested before this time, which is one lease after this gateway joined the fleet or the
+  // engine was found to have lost writes.
   double leases_allowed_from_ = 1e300;
   uint64_t membership_changes_ = 0, engine_failures_ = 0, ledger_call_count_ = 0;
   double last_failure_logged_at_ = -100;
--- a/src/fleet/settings.cpp
+++ b/src/fleet/settings.cpp
@@ -18,8 +18,8 @@
   return "setting is unreadable: " + name + " (" + why + ")";
 }
 
-// Reads the fields of one JSON object. Each reader reports its own error; CheckUnknownFields reports unknown
-// fields.
+// Reads the fields of one JSON object. Each method that reads a field reports an error in that field;
+// CheckUnknownFields reports fields that none of them read.
 class FieldReader {
  public:
   FieldReader(const json& object, std::string path, std::vector<std::string>* faults)
--- a/src/fleet/stop_points.h
+++ b/src/fleet/stop_points.h
@@ -1,5 +1,6 @@
-// Stop points in the processing of an idempotent request: a test makes the process raise SIGSTOP at one of
-// them, and then resumes or kills it. Compiled in only for tests (IVYGW_STEPS); otherwise they do nothing.
+// Stop points in the processing of an idempotent request: a test makes the process suspend itself with
+// SIGSTOP at one of them, and then resumes or kills it. Compiled in only for tests (IVYGW_STEPS); otherwise
+// they do nothing.
 #ifndef IVYGW_FLEET_STOP_POINTS_H_
 #define IVYGW_FLEET_STOP_POINTS_H_
 
@@ -12,7 +13,8 @@
 namespace ivygw::fleet {
 
 #ifdef IVYGW_STEPS
-// Stops at the point whose number, counted from 1 since the process started, is given in IVYGW_STOP_AT.
+// Counts its calls since the process started, from 1. The call whose number is given in the environment
+// variable IVYGW_STOP_AT prints `name` and suspends the process with SIGSTOP.
 inline void StopPoint(const char* name) {
   static const int kStopAt =
       std::getenv("IVYGW_STOP_AT") != nullptr ? std::atoi(std::getenv("IVYGW_STOP_AT")) : 0;
--- a/src/parts/ceiling.cpp
+++ b/src/parts/ceiling.cpp
@@ -6,7 +6,7 @@
 namespace ivygw::parts {
 namespace {
 constexpr double kRoundingTolerance = 1e-6;  // units, when totals are compared
-constexpr double kMinWindowS = 1e-3;         // lower bound for any configured rate and burst
+constexpr double kMinWindowS = 1e-3;         // lower bound of a window's length, whatever the rate and burst
 }  // namespace
 
 double CeilingParams::LocalFraction() const {
--- a/src/parts/share_lease.cpp
+++ b/src/parts/share_lease.cpp
@@ -53,8 +53,8 @@
     });
     requesting.resize(max_holders);
   }
-  // Water filling: the minimum for each, then up to the demand starting with the smallest, then the rest
-  // evenly.
+  // Water filling: each gets the minimum, then each gets up to its demand, starting with the smallest demand,
+  // and then the rest is divided evenly.
   double remaining = 1 - min_share * static_cast<double>(requesting.size());
   for (size_t i : requesting) shares[i] = min_share;
   std::vector<size_t> by_demand = requesting;
@@ -139,7 +139,7 @@
     return;
   }
   uint64_t guard_version = 0;
-  std::vector<ShareLease> leases = {ShareLease()};  // this gateway first
+  std::vector<ShareLease> leases = {ShareLease()};  // this gateway's lease comes first
   double others_share = 0;
   ShareLease own;
   uint64_t version = 0;
@@ -156,8 +156,9 @@
       others_share += leases.back().share;
     }
   }
-  // The engine's record of this gateway may come from a write whose reply was lost, or be gone with its
-  // lease. Gone before that: the engine has lost writes.
+  // The engine's record of this gateway may come from a write whose reply was lost, or may be gone because
+  // its lease has ended. If the record is gone before that, the engine has lost writes, and nothing is
+  // requested for the time of a lease.
   if (version == 0 && now < record_expected_until_ && !released_) backoff_until_ = now + options_.lease_s;
   if (version == 0) record_expected_until_ = -1;
   lease_ = own;
@@ -184,7 +185,8 @@
                         static_cast<double>(std::count_if(leases.begin(), leases.end(),
                                                           [](const ShareLease& l) { return l.demand > 0; })) >
                     1;
-  // A turn lasts its full time even if another gateway has waited longer, and ends only if one is waiting.
+  // A turn lasts its full time even if another gateway has waited longer, and ends only if another gateway
+  // is waiting.
   bool waiting = std::any_of(leases.begin() + 1, leases.end(),
                              [](const ShareLease& l) { return l.demand > 0 && l.share <= 0; });
   bool turn_over = take_turns && waiting && own.share > 0 && turn_started_at_ >= 0 &&
@@ -194,12 +196,13 @@
   double unallocated = std::max(0.0, 1 - others_share - kShareEpsilon);
   double share = std::min(target, std::max(unallocated, 0.0));
   if (share < options_.min_share - kShareEpsilon && share < target)
-    share = std::min(own.share, target);  // too little is free to hold a request
+    share = std::min(own.share, target);  // the unallocated part is too small to hold a request
   share = std::floor(std::min(share, std::max(0.0, 1 - others_share)) * kSharePrecision) /
           kSharePrecision;  // rounded down to the stored precision
   ShareLease next{share, has_demand ? demand_ : 0,
                   turn_over || own.waiting_since == 0 ? reply.revision + 1 : own.waiting_since};
-  // Other gateways need to know only of a considerable change of the share or the demand.
+  // Other gateways need to know only of a change of the share or the demand by more than kMinRelativeChange;
+  // otherwise the lease is just renewed.
   auto differs = [](double a, double b) { return std::fabs(a - b) > kMinRelativeChange * std::max(a, b); };
   bool remove = !has_demand && share <= 0;
   bool write = remove || version == 0 || differs(share, own.share) || differs(next.demand, own.demand);
--- a/src/parts/share_lease_manager.cpp
+++ b/src/parts/share_lease_manager.cpp
@@ -8,9 +8,10 @@
 namespace ivygw::parts {
 namespace {
 constexpr double kNever = 1e300;
-constexpr double kDemandHeadroom = 1.25;  // requested share over observed demand, which lags behind
-// Leases for which a pending call is waited for after the demand has ended; the engine's own timeout is
-// shorter.
+// Ratio of the requested share to the observed demand, which lags behind the current demand.
+constexpr double kDemandHeadroom = 1.25;
+// How long a pending call is waited for after the demand has ended, in lease durations. The engine's own
+// timeout is shorter.
 constexpr double kReplyGraceLeases = 2;
 
 std::string CustomerKey(uint64_t customer) {
@@ -61,7 +62,8 @@
     if (now > it->second.last_request_at + DemandWindowS()) it->second.client->SetDemand(0, now, &calls);
     it->second.client->OnTimer(now, &calls);
     CollectCalls(it->first, &calls, out);
-    // Drops a customer without share, demand and pending calls; a later request starts from scratch.
+    // Drops a customer that has no share, no demand and no pending call. A later request of the customer
+    // starts from scratch.
     bool idle = now > it->second.last_request_at + DemandWindowS() + kReplyGraceLeases * options_.lease_s &&
                 it->second.client->NextDue() >= kNever;
     if (!idle) {
--- a/src/parts/share_lease_manager.h
+++ b/src/parts/share_lease_manager.h
@@ -1,7 +1,8 @@
-// Share leases of one gateway over all customers: tracks each customer's demand here and drives one
-// ShareLeaseClient for each. No clock and no I/O: each event carries its time (seconds of a monotonic clock
-// of this gateway), and calls to the engine are returned with the customer and an id. At most `max_customers`
-// at a time; further ones get no share in this gateway. Not thread-safe.
+// Share leases of one gateway over all customers: tracks the demand of each customer at this gateway and
+// drives one ShareLeaseClient for each customer. No clock and no I/O: each event carries its time (seconds of
+// a monotonic clock of this gateway), and calls to the shared engine (shared/engine.h), a key-value store
+// that all gateways use, are returned with the customer and an id. At most `max_customers` customers have a
+// lease at a time; further ones get no share in this gateway. Not thread-safe.
 #ifndef IVYGW_PARTS_SHARE_LEASE_MANAGER_H_
 #define IVYGW_PARTS_SHARE_LEASE_MANAGER_H_
 
@@ -17,7 +18,7 @@
 namespace ivygw::parts {
 
 struct ShareLeaseManagerOptions {
-  std::string boot_id;  // globally unique id of this start of the gateway
+  std::string boot_id;  // globally unique id of this run of the gateway's process
   double lease_s = 3, clock_margin = 0.1;
   double turn_s = 6;
   size_t max_customers = 256;
@@ -44,7 +45,9 @@
                  OutgoingCalls* out);
   void OnTimer(double now, OutgoingCalls* out);
   void OnReply(double now, uint64_t customer, uint64_t id, const shared::Reply& reply, OutgoingCalls* out);
-  void ReleaseAll(double now, OutgoingCalls* out);  // permanently
+  // Gives up the shares of all customers at once and asks the engine to remove their lease records. No share
+  // is requested afterwards: OnRequest does nothing.
+  void ReleaseAll(double now, OutgoingCalls* out);
   // Returns the shares that changed since the previous call. The caller must apply them before it makes any
   // engine call returned since: a released share must no longer be used when the engine learns of it.
   std::vector<ShareUpdate> TakeUpdates(double now);
@@ -52,7 +55,7 @@
 
   struct Stats {
     size_t customers = 0, held = 0, waiting = 0;
-    double shares = 0;  // sum of those held
+    double shares = 0;  // sum of the shares held
     uint64_t conflicts = 0, rejected = 0;
   };
   Stats stats() const;
@@ -62,10 +65,10 @@
  private:
   struct CustomerLease {
     std::unique_ptr<ShareLeaseClient> client;
-    double demand_rate = 0, last_request_at = 0;  // demand: recent units per second
+    double demand_rate = 0, last_request_at = 0;  // demand_rate: recent units per second
     double reported_share = 0, reported_until = -1;
   };
-  // Averaging time of the demand, and the time without demand after which a share is released.
+  // The time over which the demand is averaged, and the time without demand after which a share is released.
   double DemandWindowS() const { return 2 * options_.lease_s; }
   void CollectCalls(uint64_t customer, ShareLeaseClient::OutgoingCalls* calls, OutgoingCalls* out);
 
