--- a/system/decisions/call_routing/pending_calls.h
+++ b/system/decisions/call_routing/pending_calls.h
@@ -12,24 +12,25 @@
 
 // Identifies a caller's connection. Never reused within one incarnation of the process.
 using CallerId = uint64_t;
-// Identifies a call among those of all incarnations of the process. The upper half is the incarnation, the
-// lower half a counter.
+// Identifies a call among those of all incarnations of the process. The upper 32 bits are the incarnation,
+// the lower 32 bits a counter.
 using CallNumber = uint64_t;
 
 class PendingCalls {
  public:
-  // `incarnation`: differs at entry start of the process, so that answers to calls of an earlier one are
-  // dropped.
+  // `incarnation`: identifies this run of the process. It must differ at every start, so that answers to
+  // calls of an earlier run are dropped.
   explicit PendingCalls(uint32_t incarnation) : incarnation_(incarnation) {}
 
   // Adds a call that expires at `deadline`.
   CallNumber Add(CallerId caller, double deadline);
-  // Returns the caller of an answered call. Returns none, and counts the answer as dropped, if the call is of
-  // another incarnation, already answered or cancelled.
+  // Removes an answered call and returns its caller. Returns none, and counts the answer as dropped, if the
+  // call is not pending: it belongs to another incarnation, or was already answered, cancelled by Forget or
+  // removed by TakeExpired or TakeAll.
   std::optional<CallerId> Complete(CallNumber number);
   // Cancels the calls of a caller whose connection was closed.
   void Forget(CallerId caller);
-  // Removes expired calls, which may have been executed, and returns their callers.
+  // Removes the calls whose deadline has passed, and returns their callers. The calls may have been executed.
   std::vector<CallerId> TakeExpired(double now);
   // Removes all calls because the connection to the other process was closed, and returns their callers. The
   // calls may have been executed.
--- a/system/decisions/config_model/json.h
+++ b/system/decisions/config_model/json.h
@@ -13,12 +13,13 @@
 
 namespace ivygw::config_model {
 
-// Returns a JSON string with quotes. Control characters are omitted.
+// Returns `text` as a JSON string in quotes. Control characters are omitted.
 std::string Quoted(std::string_view text);
 // Returns {"error":...}, the body of an error response.
 std::string ErrorBody(std::string_view text);
 
-// An object of a document, with its path for messages. The document must outlive it.
+// An object within a JSON document. Faults name a field by its path from the root of the document. The
+// document must outlive the object.
 class Object {
  public:
   using Fault = std::string;
@@ -28,7 +29,8 @@
   std::string Name(std::string_view field) const {
     return path_.empty() ? std::string(field) : path_ + "." + std::string(field);
   }
-  // A missing or null field is a fault if it is `required`; otherwise `out` is unchanged.
+  // Each reads one field. A missing field is a fault if it is `required`; otherwise `out` is unchanged. Get
+  // treats a null field as missing.
   Fault Get(const char* field, std::string* out, bool required = true) const;
   Fault Get(const char* field, int* out, bool required = true) const;
   Fault Get(const char* field, double* out, bool required = true) const;
@@ -37,8 +39,8 @@
   Fault Numbers(const char* field, std::vector<int>* out, bool required = true) const;
   Fault Sub(const char* field, Object* out, bool* present) const;
   Fault Each(const char* field, bool required, const std::function<Fault(const Object&)>& take) const;
-  Fault Only(
-      std::initializer_list<std::string_view> fields) const;  // returns a fault if there is another field
+  // Returns a fault if the object has a field that is not among `fields`.
+  Fault Only(std::initializer_list<std::string_view> fields) const;
   std::string Text() const { return simdjson::minify(object_); }
 
  private:
--- a/system/decisions/config_model/model.cpp
+++ b/system/decisions/config_model/model.cpp
@@ -163,7 +163,7 @@
     parsed.key = KeyOf(table, name);
     parsed.dropped = dropped;
     if (!dropped) parsed.body = item.Text();
-    // A name may occur more than once, set or removed. Its highest version wins.
+    // A call may set or remove the same key more than once. The item with the highest version wins.
     auto [at, inserted] = seen.try_emplace(parsed.key, out->items.size());
     if (inserted) {
       out->items.push_back(std::move(parsed));
@@ -243,7 +243,8 @@
 }
 
 Fault CheckChange(const Change& change, const Index& committed) {
-  // Also checks items that a higher version supersedes: a call is valid as a whole or not at all.
+  // Items that do not replace a committed one, because their version is too low, are checked as well: a call
+  // is valid as a whole or not at all.
   std::map<std::string, const messages::Item*> winning;  // items of the call that replace committed ones
   std::set<std::string_view> services, dropped;
   for (const messages::Item& item : change.items) {
@@ -252,7 +253,7 @@
     if (wins) winning[item.key] = &item;
     if (table == kServices && wins) (item.dropped ? dropped : services).insert(name);
   }
-  std::map<std::string, std::string> owner;  // of each API key in the call, within the call
+  std::map<std::string, std::string> owner;  // first tenant of the call that has the API key, by API key
   for (const messages::Item& item : change.items) {
     if (item.dropped) continue;
     auto [table, name] = SplitKey(item.key);
@@ -267,7 +268,8 @@
         if (!inserted && at->second != tenant.name) return shared_key_fault(at->second);
         const std::set<std::string>* holders = committed.Holders(api_key);
         for (const std::string& holder : holders ? *holders : std::set<std::string>()) {
-          // A tenant that the call also replaces is checked with its new keys.
+          // A holder that the call also replaces or removes does not conflict by its old keys. Its new keys
+          // are checked as part of the call.
           if (holder != tenant.name && !winning.count(KeyOf(kTenants, holder)))
             return shared_key_fault(holder);
         }
--- a/system/decisions/config_model/model.h
+++ b/system/decisions/config_model/model.h
@@ -28,7 +28,7 @@
   std::vector<std::string> keys;
   std::optional<int> priority;
   double rate_per_s = 0, burst = 0;  // in requests; a rate of 0 means no limit
-  uint64_t version = 0;              // of its item, if known
+  uint64_t version = 0;              // of the tenant's item; 0: not known
 };
 struct Service {
   std::string name, health_path;
@@ -56,17 +56,20 @@
 struct Change {
   std::vector<messages::Item> items;
 };
-// Parses a whole call; nothing of it is applied if any part is invalid.
+// Parses a whole call. If any part of it is invalid, returns a fault and the call must not be applied.
 Fault ReadChange(const std::string& json, Change* out);
 
 // An index of the committed configuration for validating changes, updated item by item.
 class Index {
  public:
-  void ApplyItem(const messages::Item& item);  // the latest version of its key
-  void Erase(const std::string& key);          // the key was removed
+  // Replaces what the index holds for the item's key. REQUIRES: `item` is the latest version of its key.
+  void ApplyItem(const messages::Item& item);
+  // Removes what the index holds for the key. To be called when the key is removed from the table.
+  void Erase(const std::string& key);
   // Returns the tenants that have this API key; null if there are none.
   const std::set<std::string>* Holders(const std::string& api_key) const;
   bool Service(const std::string& name) const { return services_.count(name) > 0; }
+  // Returns the version of the key's item; 0 if there is none.
   uint64_t VersionOf(const std::string& key) const;
 
  private:
--- a/system/decisions/discovery/backend.h
+++ b/system/decisions/discovery/backend.h
@@ -15,8 +15,8 @@
   uint64_t sequence = 0;   // of the heartbeat that reported it
 };
 
-// Reads the body of a heartbeat, which does not contain `id`. Returns an empty string, or the fault with its
-// field.
+// Reads the body of a heartbeat, which does not contain `id`. Returns an empty string, or a fault that names
+// the field.
 std::string ParseHeartbeat(const std::string& json, Backend* out);
 // Formats the JSON body of an item. Omits id and sequence, which are the item's key and version.
 std::string FormatBackend(const Backend& backend);
--- a/system/decisions/discovery/journal.h
+++ b/system/decisions/discovery/journal.h
@@ -1,5 +1,5 @@
-// An in-memory journal of events. Views are folded from it, each at its own pace. Events that all views have
-// read are dropped. Pure; one thread.
+// An in-memory journal of events. Each view is a fold over the events and keeps its own read position. Events
+// that all views have read are dropped. Pure; one thread.
 #ifndef IVYGW_SYSTEM_DISCOVERY_JOURNAL_H_
 #define IVYGW_SYSTEM_DISCOVERY_JOURNAL_H_
 
--- a/system/decisions/discovery/table_cache.h
+++ b/system/decisions/discovery/table_cache.h
@@ -1,7 +1,7 @@
 // A gateway's cache of a replicated table. Updates pushed by several cores are merged item by item, so that
 // no item returns to an older version while the process runs. Pure; one thread.
 //
-// Cores send the revision of their table with each update. An update of an older revision never restores a
+// Cores send the revision of their table with each update. An update from an older revision never restores a
 // key that a later list or update has shown to be removed.
 #ifndef IVYGW_SYSTEM_DISCOVERY_TABLE_CACHE_H_
 #define IVYGW_SYSTEM_DISCOVERY_TABLE_CACHE_H_
@@ -43,8 +43,9 @@
     if (state.list_revision > 0) OnListCompleted(now, state);
   }
 
-  // Whether a complete list has been received from a core of the highest epoch known at that time, to which a
-  // majority had confirmed that nothing was missing. Never becomes false again.
+  // Whether a core of the highest epoch known at that time has sent a complete list of the table. A core
+  // sends one only after a majority of the cores has confirmed that the core's own table lacks no decided
+  // change. Never becomes false again.
   bool complete() const { return complete_; }
   uint64_t epoch() const { return epoch_; }
   // Digests of the present items, by range.
@@ -53,8 +54,10 @@
  private:
   struct CachedItem {
     messages::Item item;
-    uint64_t seen_at_revision = 0;  // latest revision of a core's table that had it
-    bool removed = false;           // the table no longer has this key
+    // The latest revision at which a core's table is known to have had the key or, if `removed`, to have
+    // lacked it.
+    uint64_t seen_at_revision = 0;
+    bool removed = false;  // the table no longer has this key
     bool IsPresent() const { return !removed && !item.dropped; }
   };
 
@@ -90,7 +93,8 @@
     journal_->Append({table_, item, now});
   }
 
-  // The table has no such key at `revision`.
+  // A core's table does not have the item's key at `revision`. Marks the item as removed, unless a table of
+  // this revision or a later one is known to have had the key.
   void RemoveIfOlder(double now, CachedItem* cached, uint64_t revision) {
     if (cached->removed || cached->seen_at_revision >= revision) return;
     ToggleDigest(*cached);
@@ -103,7 +107,7 @@
     journal_->Append({table_, std::move(end), now});
   }
 
-  // Adds the item to the digest of its range, or removes it.
+  // Adds a present item to the digest of its key range or, if the digest includes it already, removes it.
   void ToggleDigest(const CachedItem& cached) {
     if (!cached.IsPresent()) return;
     digests_[messages::RangeOf(cached.item.key, digests_.size())] ^= messages::DigestOf(cached.item);
@@ -114,7 +118,8 @@
   std::map<std::string, CachedItem> items_;
   std::vector<uint64_t> digests_;
   uint64_t epoch_ = 0;
-  uint64_t list_revision_ = 0;  // of the latest received list, when it began
+  // The highest table revision at which a list that was received in full began; 0: none.
+  uint64_t list_revision_ = 0;
   bool complete_ = false;
 };
 
--- a/system/decisions/drain/drain_manager.h
+++ b/system/decisions/drain/drain_manager.h
@@ -13,9 +13,9 @@
 
 // Start of each phase, in seconds after the start of the drain, in non-decreasing order.
 struct DrainSchedule {
-  double close_idle = 0;  // readiness checks have failed by now
+  double close_idle = 0;  // by this time, failing readiness checks are assumed to have been noticed
   double refuse_new = 0;
-  double end = 0;  // even if requests are active
+  double end = 0;  // the process exits at this time even if requests are active
 
   // `grace`: seconds between SIGTERM and SIGKILL; above 0.
   static DrainSchedule ForGrace(double grace) {
--- a/system/decisions/load_balancing/pool.cpp
+++ b/system/decisions/load_balancing/pool.cpp
@@ -6,11 +6,13 @@
 namespace ivygw::load_balancing {
 namespace {
 
-// Time for which a backend is avoided after a failure, doubled with each further one, in seconds.
+// Time for which a backend is avoided after a failure, in seconds. It doubles with each further consecutive
+// failure, up to the maximum.
 constexpr double kMinAvoidTime = 0.4, kMaxAvoidTime = 4;
 // Time for which a backend that rejected a request counts as overloaded, in seconds.
 constexpr double kOverloadedTime = 0.06;
-// Cost of a backend in another zone, whose traffic is charged.
+// Added cost of a backend in another zone, because traffic between zones is charged, in units of the usual
+// service time.
 constexpr double kOtherZoneCost = 0.3;
 // Service time of a backend that warms up, as a multiple of the usual one.
 constexpr double kWarmUpSlowdown = 2;
@@ -80,7 +82,7 @@
   }
 }
 
-// Returns the expected cost of a request there, in units of the usual service time.
+// Returns the expected cost of sending a request to this backend, in units of the usual service time.
 double Pool::Cost(double now, const BackendState& state) const {
   double slots = state.backend.slot_count;
   double cost =
--- a/system/decisions/load_balancing/pool.h
+++ b/system/decisions/load_balancing/pool.h
@@ -24,23 +24,23 @@
 enum class AttemptResult {
   kServed,
   kErrorStatus,        // 5xx, or 408 or 429, from the backend itself
-  kOverloaded,         // rejected with Not-Executed
+  kOverloaded,         // rejected by an answer with a Not-Executed header
   kMisdirected,        // 421: another backend answers at the address
-  kConnectionRefused,  // the connection was not established
-  kTimedOut,
-  kBroken,    // the connection was lost, or its answer can't be trusted
-  kCancelled  // ended by this gateway, or before its request was written
+  kConnectionRefused,  // it failed, or the deadline passed, before the connection was established
+  kTimedOut,           // the connect timeout passed, or no answer arrived by the deadline
+  kBroken,             // the connection was lost, or its answer can't be trusted
+  kCancelled           // ended by this gateway, or a reused connection was lost before the write
 };
 
 struct BackendState {
   discovery::Backend backend;
-  int active_requests = 0;  // of this gateway
-  double warm_until = 0;
-  double avoid_until = 0;       // after failures
-  double overloaded_until = 0;  // after it rejected a request
-  int failures = 0;             // consecutive
+  int active_requests = 0;      // of this gateway
+  double warm_until = 0;        // warms up until this time
+  double avoid_until = 0;       // avoided until this time because of failures
+  double overloaded_until = 0;  // counts as overloaded until this time because it rejected a request
+  int failures = 0;             // number of consecutive failures
   bool gone = false;            // its address belongs to another backend
-  int own_slots = 0;            // assigned to this gateway
+  int own_slots = 0;            // number of its slots that are assigned to this gateway
 };
 
 class Pool {
--- a/system/decisions/load_balancing/retry_budget.h
+++ b/system/decisions/load_balancing/retry_budget.h
@@ -29,7 +29,7 @@
   void OnRetry(double now, const std::string& service) { UsageOf(now, service).retries.push_back(now); }
 
  private:
-  // Fractions of the ratio and of the slack that the gateways may use.
+  // Fractions of the ratio and of the slack that all gateways together may use.
   static constexpr double kRatioFraction = 0.8, kSlackFraction = 0.8;
   // Gateways that may have joined without this one having been notified yet.
   static constexpr size_t kUnannouncedGateways = 2;
--- a/system/decisions/messages/replication.h
+++ b/system/decisions/messages/replication.h
@@ -105,19 +105,20 @@
   uint64_t revision = 0;
   ProposalNumber number;
 };
-// Phase 1b.
+// Phase 1b: the promise that Prepare requests. `accepted`: the change that the acceptor has accepted and does
+// not know to be decided; none if there is none.
 struct Promise {
   uint64_t revision = 0;
   ProposalNumber number;
   std::optional<AcceptedChange> accepted;
 };
-// Phase 2a.
+// Phase 2a: requests the acceptor to accept `change` for `revision`.
 struct Accept {
   uint64_t revision = 0;
   ProposalNumber number;
   Change change;
 };
-// Phase 2b.
+// Phase 2b: the acceptor has accepted the change proposed under `number`.
 struct Accepted {
   uint64_t revision = 0;
   ProposalNumber number;
--- a/system/decisions/rate_limit/admission.cpp
+++ b/system/decisions/rate_limit/admission.cpp
@@ -15,7 +15,7 @@
 constexpr double kMinRetryAfter = 0.05;
 // Duration of a round in which the pools are asked one after another, in seconds.
 constexpr double kDrawRound = 0.05;
-// Most draws in a round.
+// The maximum number of draws in a round.
 constexpr int kMaxDrawsPerRound = 3;
 // Requested share, as a multiple of the measured demand.
 constexpr double kDemandHeadroom = 1.15;
@@ -24,7 +24,7 @@
 constexpr double kMinLeasedDemand = 1;
 // Interval between reports of an unchanged tenant, in seconds.
 constexpr double kUnchangedReportInterval = 1;
-// After all pools were empty, time for which no extra batches are requested, in seconds.
+// Time for which a tenant requests no extra batches after the pools gave it too few tokens, in seconds.
 constexpr double kEmptyPoolsBackoff = 0.05;
 // Time within which a requested batch is expected to arrive, in seconds.
 constexpr double kBatchTimeout = 0.03;
@@ -37,7 +37,8 @@
   return sum;
 }
 
-// Ends the tick that all tenants share when it is over, and returns W.
+// Ends the current tick, which all tenants share, if it is over. Returns W of the formula in admission.h: the
+// number of requests served in the last tick, or 0 if there was an overload.
 double Admission::SpareCapacity(double now) {
   if (now >= tick_start_ + options_.tick_s) {
     bool consecutive = now < tick_start_ + 2 * options_.tick_s;
@@ -104,7 +105,7 @@
 // bucket has refilled after a burst; above the limit, the delay grows with the excess demand.
 double Admission::RetryAfter(double now, const Bucket& bucket) const {
   if (TotalLeasedShare(now, bucket) <= 0)
-    return 2 * kMinRetryAfter;  // a new tenant here, whose grants have not arrived yet
+    return 2 * kMinRetryAfter;  // the tenant is new at this gateway and has no grants yet
   double flow = std::max(
       TotalLeasedShare(now, bucket) / kLeasedRateShare * (kLeasedRateShare + kPooledRateShare) * bucket.rate,
       0.5);
@@ -122,7 +123,8 @@
     bucket.window_start = now;
     bucket.store_estimate = tenant.burst;
     bucket.demand_at = now;
-    // Until the first grant arrives: an even part of the slack, so that all gateways together stay within it.
+    // Until the first grant arrives, the bucket has an even part of the slack, so that all gateways together
+    // stay within the slack.
     bucket.tokens = std::min(1.0, options_.slack * kBucketSlackShare / static_cast<double>(gateways_));
   }
   bucket.rate = tenant.rate_per_s + options_.slack * kRateSlackShare / (options_.window_s + 1);
@@ -163,8 +165,8 @@
   }
   bool batch_outstanding = now <= bucket->batch_requested_at + kBatchTimeout;
   if (bucket->tokens < 1) {
-    // The pools may have tokens and answer within a few milliseconds. Rejects at once when they were empty a
-    // moment ago.
+    // The pools may have tokens and answer within a few milliseconds, so the request waits. It is rejected at
+    // once if the pools were empty a moment ago.
     if (!IsIsolated(now) && now >= bucket->pools_empty_until) {
       ++bucket->pending;
       needs_tokens_ = needs_tokens_ || !batch_outstanding;
@@ -266,7 +268,7 @@
     LeasedShare& leased = bucket.leased[core];
     leased.share = grant.share;
     leased.granted_report_at = report.at;
-    // Of several cores, follows the totals of one until it has been silent for a second.
+    // Each core counts on its own. Follows the totals of one core until it has been silent for a second.
     AdvanceWindow(now, &bucket);
     if (leased.has_total && grant.total >= leased.last_total) {
       double reported = static_cast<double>(grant.total - leased.last_total);
--- a/system/decisions/rate_limit/admission.h
+++ b/system/decisions/rate_limit/admission.h
@@ -2,7 +2,7 @@
 // backend is chosen. Pure: the caller passes the time of each event (seconds of one steady clock of this
 // gateway). One thread.
 //
-// Each tenant has a token bucket, which every tick is refilled_at by
+// Each tenant has a token bucket, which is refilled in every tick by u_i tokens:
 //     u_i = u_g_i + V_i / sum(V) * (W - mu_i), capped at T_i - mu_i
 // where u_g_i is the guarantee from the shares of the tenant's limit that the cores have granted to this
 // gateway, V_i the tenant's requests in the last tick, W the number of requests that this gateway served in
@@ -33,8 +33,8 @@
 
 struct AdmissionDecision {
   bool admitted = true;
-  // A token has been requested from a core's pool. RetryPending decides when grants have arrived, at the
-  // latest after kTokenTimeout.
+  // The request waits for a token from a core's pool. RetryPending is to be called when grants have arrived,
+  // at the latest after kTokenTimeout, and decides then.
   bool pending = false;
   double retry_after_s = 0;  // of a rejected request
 };
@@ -89,20 +89,21 @@
     double InForce(double now) const { return ShareInForce(share, now - granted_report_at + kLeaseMargin); }
     uint64_t last_total = 0;  // the counter's total in the last grant
     bool has_total = false;
-    double reported_at = -1, reported_wanted = 0;  // by this gateway's last report
+    // Time, requested share and admitted requests of this gateway's last report to the core.
+    double reported_at = -1, reported_wanted = 0;
     uint64_t reported_admitted = 0;
   };
   struct Bucket {
-    double rate = 0, burst = 0;  // the limit, with this gateway's part of the slack
+    double rate = 0, burst = 0;  // the limit; the rate includes kRateSlackShare of the slack
     uint64_t version = 0;
     double tokens = 0, refilled_at = 0;
-    double requested_at = 0;           // last request
-    double demand = 0, demand_at = 0;  // recent requests per second
+    double requested_at = 0;           // when the last request arrived
+    double demand = 0, demand_at = 0;  // recent requests per second, as averaged at demand_at
     size_t pending = 0;                // requests that wait for a token
-    double pools_empty_until = -1;     // all pools were empty
-    double batch_requested_at = -1;    // of a batch that has not arrived; -1: none
-    double draw_round_at = -1;         // start of the current round of draws
-    int draws = 0;                     // in the current round
+    double pools_empty_until = -1;     // the pools count as empty until this time
+    double batch_requested_at = -1;    // when the batch that has not arrived was requested; -1: none
+    double draw_round_at = -1;         // start of the current round of draws from the pools; -1: none
+    int draws = 0;                     // draws in the round of draw_round_at that gave too few tokens
     uint64_t requests_this_tick = 0, requests_last_tick = 0;
     uint64_t admitted = 0;                        // since the bucket was created
     std::map<std::string, LeasedShare> leased;    // by core
@@ -111,7 +112,7 @@
         uncounted = 0;                            // own requests not yet in window_total
     bool counting = false;                        // the counter's total is up to date
     std::string counting_core;                    // core whose totals are followed
-    double counting_core_until = 0;               // after that, another core may take over
+    double counting_core_until = 0;               // after this time, another core's totals may be followed
   };
   void Refill(double now, Bucket* bucket);
   AdmissionDecision TakeToken(double now, Bucket* bucket);
@@ -132,7 +133,7 @@
     std::string core;
     double at = 0;
     std::map<std::string, uint64_t> admitted;  // as reported, by tenant
-    std::set<std::string> drawn_tenants;       // for which it requested a batch
+    std::set<std::string> drawn_tenants;  // tenants for which the report requested a batch of pool tokens
   };
   std::map<uint64_t, OutstandingReport> reports_;
   uint64_t last_report_ = 0;
--- a/system/decisions/rate_limit/quota_allocator.cpp
+++ b/system/decisions/rate_limit/quota_allocator.cpp
@@ -9,7 +9,7 @@
 
 // Interval at which shares are recomputed, in seconds.
 constexpr double kShareInterval = 0.2;
-// A gateway that has not reported for this long, in seconds, demands no more, but keeps its lease.
+// Time without a report after which a gateway counts as having no demand, in seconds. It keeps its lease.
 constexpr double kDemandTimeout = 2;
 // A silent gateway's lease and its request count are dropped after this time, in seconds.
 constexpr double kLeaseExpiry = kRetentionTerm + kLeaseTerm;
@@ -60,8 +60,8 @@
   tenant->pool_filled_at = now;
 }
 
-// Max-min fairness among the gateways that report: no lease exceeds another one that is below its demand. The
-// share that is not demanded stays in the pool.
+// Returns the largest share that each gateway may lease, by max-min fairness among the gateways that report:
+// no lease exceeds another one that is below its demand. The share that is not demanded stays in the pool.
 double QuotaAllocator::FairShare(const Tenant& tenant, double maximum, double now) {
   std::vector<double> demands;
   for (const auto& [gateway, lease] : tenant.leases) {
--- a/system/decisions/rate_limit/quota_allocator.h
+++ b/system/decisions/rate_limit/quota_allocator.h
@@ -29,7 +29,8 @@
   // the retained part of it (`retaining`). May be called more than once.
   void OnLeaseHolders(const std::vector<std::string>& holders,
                       const std::vector<std::string>& retaining = {});
-  // This core has replaced another, whose lease holders may retain a part of their grants until that time.
+  // This core has replaced another, whose lease holders may retain a part of their grants until
+  // `retained_until`.
   void OnPredecessor(double retained_until) { predecessor_retained_until_ = retained_until; }
 
   // Returns the grants that answer a gateway's report. `incarnation`: of the gateway's process. `allocators`:
@@ -50,9 +51,9 @@
     // Upper bound of the share in use: a smaller grant counts only when its holder has reported it.
     double max_in_use = 0;
     double computed_at = -1;                   // when the share was last computed
-    double wanted_share = 0, reported_at = 0;  // of its last report
+    double wanted_share = 0, reported_at = 0;  // share requested by the holder's last report, and its time
     uint64_t incarnation = 0, admitted = 0;
-    double counted = 0;  // in the tenant's sum; never less than the share in use
+    double counted = 0;  // part of the tenant's `leased`; never less than the share in use
     // The share that its holder may use, according to the grant at its last report.
     double InUse(double now) const { return ShareInForce(max_in_use, now - reported_at); }
   };
@@ -61,8 +62,8 @@
     double rate = 0, burst = 0;           // of the newest limit that any gateway has reported
     uint64_t version = 0;
     double leased = 0;                    // sum of the leases' counted shares
-    double fair_share = 0;                // largest lease while another lease is below its demand
-    double refreshed_at = -1;             // when both were last recomputed
+    double fair_share = 0;                // upper bound of each new grant; infinite if all demands fit
+    double refreshed_at = -1;             // when `leased` and `fair_share` were last recomputed in full
     double pool = 0, pool_filled_at = 0;  // in requests; time of the last refill
     bool has_pool = false;
     uint64_t total = 0;  // admitted requests reported by all gateways
--- a/system/decisions/registry/allocation_right.h
+++ b/system/decisions/registry/allocation_right.h
@@ -29,7 +29,7 @@
   // The removed core continues to grant until it loses quorum contact.
   static constexpr Duration kTakeoverDelay =
       Duration(rate_limit::kLeaseTerm) + replication::kContactTimeout + Duration(0.5);
-  // Time from then until the retained parts of those leases have expired.
+  // Time from the end of kTakeoverDelay until the retained parts of those leases have expired.
   static constexpr Duration kRetentionDelay = Duration(rate_limit::kRetentionTerm - rate_limit::kLeaseTerm);
 
   // `recorded_epoch`: the last epoch in which this address recorded that it allocates; 0: none.
@@ -62,7 +62,8 @@
     }
   }
 
-  // The local copy of the table has caught up and holds a later record than the one that was loaded.
+  // The local copy of the table has caught up and holds a later record of this address's epoch than the one
+  // that was passed to the constructor.
   void OnRecordedEpoch(TimePoint now, uint64_t recorded_epoch) {
     if (!HasKeptItsShare(recorded_epoch)) return;
     allocates_from_ = std::min(allocates_from_, now);
@@ -73,7 +74,8 @@
     return membership_.Contains(address_, store_id_) && now >= allocates_from_;
   }
   // Lease holders of the replaced member may retain a part of their grants until this time. This core records
-  // its epoch only after it, so that a restart before then begins both waits again.
+  // its epoch only after this time. A restart before it therefore begins again both the wait until this core
+  // may allocate (kTakeoverDelay) and the wait until the retained parts have expired (kRetentionDelay).
   TimePoint predecessor_retained_until() const { return retained_until_; }
   uint64_t epoch() const { return membership_.epoch; }
 
@@ -82,7 +84,8 @@
     allocates_from_ = now + kTakeoverDelay;
     retained_until_ = allocates_from_ + kRetentionDelay;
   }
-  // Whether this address has allocated in this epoch or in the one before.
+  // Whether this address has recorded that it allocates in this epoch or in the one before. Always true in
+  // epoch 1, the first one, and false while the membership is not known (epoch 0).
   bool HasKeptItsShare(uint64_t recorded_epoch) const {
     if (membership_.epoch <= 1) return membership_.epoch == 1;
     bool in_this_epoch = recorded_epoch == membership_.epoch;
--- a/system/decisions/registry/backend_records.cpp
+++ b/system/decisions/registry/backend_records.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr char kExpiredBody[] = "silent";  // of the tombstone of an expired backend
+constexpr char kExpiredBody[] = "silent";  // body of an expired backend's tombstone
 
 bool IsBackend(const Item& item) { return item.key.starts_with(kBackendPrefix); }
 bool HasExpired(const Item& item) { return item.dropped && item.body == kExpiredBody; }
@@ -20,7 +20,8 @@
   return !item.dropped && discovery::ParseBackend(item.body, &backend).empty() && backend.draining;
 }
 
-// Whether `item`, of a higher version, would revive a backend that has announced its end.
+// Whether `item`, whose version is higher than that of `committed`, would make a deregistered backend return
+// or a draining one ready again. A backend that has only expired may return.
 bool WouldRevive(const Item& item, const Item& committed) {
   if (!IsBackend(item) || item.dropped) return false;
   if (committed.dropped) return !HasExpired(committed);
@@ -33,7 +34,9 @@
          a.draining == b.draining && (a.warmup_left_ms > 0) == (b.warmup_left_ms > 0);
 }
 
-// Whether a heartbeat arrived late or is from a backend that has announced its end.
+// Whether a heartbeat must not change the committed item: the item is a tombstone, its version is not lower
+// than the heartbeat's sequence number, or the heartbeat would make a draining backend ready again.
+// OnHeartbeat does not call this for an expired backend that returns with a higher sequence number.
 bool IsOutdated(const Backend& reported, const Item& committed, const Backend& known) {
   return committed.dropped || committed.version >= reported.sequence ||
          (known.draining && !reported.draining);
--- a/system/decisions/registry/backend_records.h
+++ b/system/decisions/registry/backend_records.h
@@ -2,7 +2,8 @@
 // which commands the table accepts. Pure.
 //
 // A backend is one item. Its key is kBackendPrefix followed by its id, its version the sequence number of the
-// call that last wrote it, and its body the output of FormatBackend. A tombstone marks its end.
+// call that last wrote it, and its body the output of FormatBackend. A tombstone marks a
+// backend that has deregistered or expired.
 #ifndef IVYGW_SYSTEM_REGISTRY_BACKEND_RECORDS_H_
 #define IVYGW_SYSTEM_REGISTRY_BACKEND_RECORDS_H_
 
@@ -25,13 +26,14 @@
 
 // `committed`: the committed item under the backend's key; null: none.
 BackendUpdate OnHeartbeat(const discovery::Backend& reported, const messages::Item* committed);
-// Returns the tombstone of a backend that sent no heartbeat for too long. A later heartbeat may revive it.
+// Returns the tombstone of a backend that sent no heartbeat for too long. A heartbeat with a
+// sequence number above the tombstone's version makes the backend return.
 messages::Item OnExpired(const messages::Item& committed);
 // `sequence`: of the call; 0: not given.
 BackendUpdate OnDeregister(const std::string& id, uint64_t sequence, const messages::Item* committed);
 
-// The higher version wins, for backends and all other records. A backend that is draining or deregistered
-// stays so, whichever command was concurrent.
+// The higher version wins, for backends and all other records. A draining backend never becomes ready again,
+// and a deregistered one never returns, whatever commands are concurrent.
 class RegistryPolicy : public replication::CommandPolicy {
  public:
   void OnRecord(const replication::Record&) override {}
--- a/system/decisions/registry/heartbeat_tracker.h
+++ b/system/decisions/registry/heartbeat_tracker.h
@@ -18,14 +18,15 @@
 
 class HeartbeatTracker {
  public:
-  static constexpr Duration kExpiry{30};    // without a heartbeat
-  static constexpr Duration kReportGap{2};  // longer pauses between reports of a core are a gap
+  static constexpr Duration kExpiry{30};    // a backend expires after this time without a heartbeat
+  static constexpr Duration kReportGap{2};  // a longer pause between reports of a core is a gap
 
   void OnHeartbeat(TimePoint now, const std::string& id) {
     last_heard_[id] = now;
     heard_here_.insert(id);
   }
-  // Backends that another core has heard from since its last report. Empty reports count, too.
+  // Handles a report of another core. `ids`: the backends whose heartbeats it has received since its last
+  // report. A report with empty `ids` counts as a report, too, so that no gap begins.
   void OnReport(TimePoint now, const std::string& core, const std::vector<std::string>& ids) {
     auto [it, first] = cores_.try_emplace(core);
     Reports& reports = it->second;
@@ -33,7 +34,8 @@
     reports.last = now;
     for (const std::string& id : ids) last_heard_[id] = now;
   }
-  // Returns the backends heard here since the last call, to be reported to the other cores.
+  // Returns the backends whose heartbeats this core has received since the last call, to be reported to the
+  // other cores.
   std::vector<std::string> TakeReport() {
     std::vector<std::string> ids(heard_here_.begin(), heard_here_.end());
     heard_here_.clear();
@@ -48,7 +50,7 @@
     });
     std::vector<std::string> expired;
     for (const std::string& id : ids) {
-      // A backend that was loaded from disk counts as heard now.
+      // A backend without a known heartbeat, such as one loaded from disk, counts as heard from now.
       TimePoint last = last_heard_.try_emplace(id, now).first->second;
       if (all_report && now > last + kExpiry) expired.push_back(id);
     }
--- a/system/decisions/replication/command_queue.cpp
+++ b/system/decisions/replication/command_queue.cpp
@@ -6,8 +6,8 @@
 namespace ivygw::replication {
 namespace {
 
-constexpr size_t kMaxChangeBytes = size_t{1}
-                                   << 20;  // limit for several commands; a single command may be larger
+// The maximum size of a change with several commands. A single command may be larger.
+constexpr size_t kMaxChangeBytes = size_t{1} << 20;
 
 }  // namespace
 
--- a/system/decisions/replication/command_queue.h
+++ b/system/decisions/replication/command_queue.h
@@ -43,7 +43,7 @@
   };
   // Builds the next change from the pending commands. `table` is at `revision` of `epoch`.
   NextChange BuildChange(const Table& table, uint64_t revision, uint64_t epoch);
-  // The rejection of this command awaits the result of that read.
+  // The rejection of `command` awaits the result of `read`.
   void BeginConfirmation(const CommandId& command, ReadId read);
   enum class Confirmation {
     kNone,      // no command awaits that read, or the read failed: the command is retried later
--- a/system/decisions/replication/failure_detector.h
+++ b/system/decisions/replication/failure_detector.h
@@ -42,8 +42,8 @@
   std::map<std::string, TimePoint> last_contact_;
 };
 
-// Since when a core has been in contact with a quorum, and whether its copy has caught up since then. It
-// serves calls only after that.
+// Tracks since when a core has been in contact with a quorum, and whether its copy has caught up since then.
+// A core serves calls only after its copy has caught up.
 class QuorumContact {
  public:
   // A majority of the members is alive.
--- a/system/decisions/replication/membership_manager.h
+++ b/system/decisions/replication/membership_manager.h
@@ -56,11 +56,13 @@
     const QuorumContact& contact;
   };
 
-  // This core doesn't serve or isn't a member: discards its recorded revisions, which may be outdated.
+  // To be called while this core doesn't serve or isn't a member. Discards its recorded revisions, which may
+  // be outdated.
   void OnNotServing() { revisions_.clear(); }
   bool CheckDue(TimePoint now) const { return now >= check_due_; }
   // Returns the membership that this core should propose now, if any. `change_pending`: a membership change
-  // of this core has not ended yet. REQUIRES: CheckDue(now), and this core serves and is a member.
+  // that this core has queued or proposed has not ended yet. REQUIRES: CheckDue(now), and this core serves
+  // and is a member.
   std::optional<Membership> Check(TimePoint now, const View& view, bool change_pending);
 
   // A membership change has been proposed for `revision`.
--- a/system/decisions/replication/peer_table.h
+++ b/system/decisions/replication/peer_table.h
@@ -16,7 +16,7 @@
   bool connected = false;  // messages can be sent to it
   PeerHeader header;       // of its last message
   std::optional<TimePoint> last_message;
-  std::optional<TimePoint> ahead_since;  // when its revision first exceeded this copy's
+  std::optional<TimePoint> ahead_since;  // since when its revision has exceeded this copy's
 };
 
 class PeerTable {
--- a/system/decisions/replication/proposer.h
+++ b/system/decisions/replication/proposer.h
@@ -30,15 +30,15 @@
   void OnCompetitor(TimePoint now);
 
   Phase phase() const { return proposal_.phase; }
-  // Of the current proposal, or the last one if there is none.
+  // These describe the current proposal, or the last one if there is none.
   const ProposalNumber& number() const { return proposal_.number; }
   uint64_t revision() const { return proposal_.revision; }
   TimePoint started() const { return proposal_.started; }
   const Change& change() const { return proposal_.change; }
   bool HasAnswered(const std::string& address) const { return proposal_.answered.count(address) > 0; }
 
-  // An undecided change was left behind. Requests phase 1, to get it decided or to show that it wasn't
-  // decided.
+  // Requests phase 1 because an accepted change has been left undecided. Phase 1 leads to its decision, or
+  // shows that it was not decided.
   void RequestRecovery() { recovery_requested_ = true; }
   bool recovery_requested() const { return recovery_requested_; }
 
--- a/system/decisions/replication/replica.cpp
+++ b/system/decisions/replication/replica.cpp
@@ -1,4 +1,6 @@
-// Replica: messages, stores, the table, contact and members.
+// Replica: sends messages and stores batches, dispatches received messages, applies decided changes to the
+// table, and checks quorum contact and the membership. The other parts of the class are in
+// replica_agreement.cpp, replica_reads.cpp and replica_catch_up.cpp.
 #include "replication/replica.h"
 
 #include <algorithm>
@@ -193,7 +195,7 @@
   AfterAdvance(now, out);
 }
 
-// Promises and replies of the previous members are void.
+// Adopts the membership of a new epoch. Promises and read replies of the previous members become void.
 void Replica::BeginEpoch(const Membership& membership, Effects* out) {
   membership_ = membership;
   out->membership_changed = true;
--- a/system/decisions/replication/replica_agreement.cpp
+++ b/system/decisions/replication/replica_agreement.cpp
@@ -8,7 +8,8 @@
 
 // --- Acceptor ---
 
-// Two concurrent proposals would block each other.
+// Makes this core's proposer pause after a proposal of another core, because two concurrent proposals would
+// block each other.
 void Replica::OnCompetitor(TimePoint now, const std::string& proposer) {
   if (proposer != options_.address) proposer_.OnCompetitor(now);
 }
@@ -145,7 +146,8 @@
   return static_cast<size_t>(count) >= membership.Quorum();
 }
 
-// A membership change needs a majority of both memberships, and also the joining members.
+// Decides the current proposal once a majority has accepted it. A membership change needs a majority of both
+// the current and the next membership, and each joining member unless MayDecideWithout exempts it.
 void Replica::DecideIfAccepted(TimePoint now, Effects* out) {
   if (!MajorityAccepted(membership_)) return;
   if (const std::optional<Membership>& next = proposer_.change().membership) {
--- a/system/decisions/replication/replica_catch_up.cpp
+++ b/system/decisions/replication/replica_catch_up.cpp
@@ -26,7 +26,8 @@
 void Replica::ApplyCaughtUp(TimePoint now, Effects* out) {
   CatchUp completed = std::move(catch_up_);
   catch_up_ = CatchUp();
-  // Nothing is new: this copy has reached that revision meanwhile, or was not behind.
+  // Drops a delta that brings nothing new: it ends before this copy's revision, or at that revision without a
+  // newer epoch. This copy has then reached the revision meanwhile, or was not behind.
   bool newer_epoch = completed.membership().epoch > membership_.epoch;
   if (completed.end() < revision_ || (completed.end() == revision_ && !newer_epoch)) return;
   StoreBatch batch;
--- a/system/decisions/replication/timing.h
+++ b/system/decisions/replication/timing.h
@@ -1,5 +1,5 @@
-// Timeouts and intervals of the replication protocol. Each core measures them with its own steady clock;
-// safety does not depend on them.
+// Timeouts and intervals of the replication protocol, in seconds. Each core measures them with its own steady
+// clock; safety does not depend on them.
 #ifndef IVYGW_SYSTEM_REPLICATION_TIMING_H_
 #define IVYGW_SYSTEM_REPLICATION_TIMING_H_
 
@@ -21,8 +21,8 @@
 // Proposals. A phase that takes longer is abandoned. Large changes get additional time per byte.
 inline constexpr Duration kPhaseTimeout{0.25};
 inline constexpr Duration kTimeoutPerByte{1e-7};
-// After an abandoned proposal the proposer pauses for a random time between a third of a limit and the limit,
-// which doubles each time.
+// After an abandoned proposal the proposer pauses for a random time between a third of a limit and the limit.
+// The limit doubles from kMinBackoff to kMaxBackoff with each abandoned proposal.
 inline constexpr Duration kMinBackoff{0.010};
 inline constexpr Duration kMaxBackoff{0.160};
 // A core that has just answered another proposer delays its own phase 1 for this long.
@@ -34,7 +34,7 @@
 // that has it may propose it again.
 inline constexpr Duration kOrphanedChangeTimeout{0.3};
 
-// Reads.
+// Reads. A round of queries that no majority has answered within kReadRoundTimeout is repeated.
 inline constexpr Duration kReadRoundTimeout{0.1};
 // A read that depends on an undecided change waits this long before its core proposes the change itself.
 inline constexpr Duration kUndecidedReadTimeout{0.04};
@@ -47,9 +47,9 @@
 
 // Membership changes.
 inline constexpr Duration kMembershipCheckInterval{0.1};
-// Members propose a due change at staggered times, by rank, so that they don't compete.
+// Members propose a due change at staggered times, in order of their addresses, so that they don't compete.
 inline constexpr Duration kMembershipStagger{0.25};
-// A learner has caught up once its disk holds the revision that the member had this long ago.
+// A learner has caught up once its disk holds the revision that the member checking it had this long ago.
 inline constexpr Duration kJoinLag{0.25};
 // A membership change is decided without a joining member that has sent nothing for kJoinSilenceTimeout, or
 // has not accepted the change within kJoinTimeout.
--- a/system/decisions/request_lifecycle/answer_classification.h
+++ b/system/decisions/request_lifecycle/answer_classification.h
@@ -9,9 +9,9 @@
 
 struct AnswerFacts {
   unsigned status = 0;
-  bool has_id = false;        // has an Attempt-Id
-  bool own_id = false;        // and it is the id of the request sent on this connection
-  bool not_executed = false;  // has Not-Executed
+  bool has_id = false;        // has an Attempt-Id header
+  bool own_id = false;        // has the Attempt-Id of the request sent on this connection
+  bool not_executed = false;  // has a Not-Executed header
   bool sealed = false;        // has a Server-Seal
   bool encoded = false;       // has a Content-Encoding, which a backend itself never sends
   // Exactly one request was ever written to the connection, so that no answer can belong to another one.
--- a/system/decisions/request_lifecycle/lifecycle.cpp
+++ b/system/decisions/request_lifecycle/lifecycle.cpp
@@ -102,8 +102,8 @@
   RequestId id = it->second;
   Request& request = requests_.at(id);
   request.client_gone = true;
-  // A request that was sent and is not idempotent continues to its end. Any other one frees its connection at
-  // once.
+  // A request that was sent and is not idempotent continues until its attempt ends. Any other request is
+  // released at once and its connection closed.
   if (request.phase == Phase::kAwaitingAnswer && !request.idempotent) {
     request_of_client_.erase(it);
     return;
@@ -257,7 +257,9 @@
       ClassifyAnswer(FactsOf(event.reply, request->attempt_id, exchange->connection->written));
   if (!classification.forwardable || request->client_gone) {
     Close(event.connection, effects);
-    // Only a complete answer can prove more.
+    // The connection is closed before the answer is complete. The start of an answer, even a trusted one,
+    // proves only that the request was written. A complete answer could also prove whether the request has
+    // run.
     Evidence evidence = classification.trusted ? Evidence::kLostAfterWrite : classification.evidence;
     return EndAttempt(now, exchange->request_id, request, evidence, AttemptResult::kBroken, effects);
   }
--- a/system/decisions/request_lifecycle/lifecycle.h
+++ b/system/decisions/request_lifecycle/lifecycle.h
@@ -60,10 +60,10 @@
 // A request has been admitted and may be sent.
 struct RequestAdmitted {
   RequestId request;
-  std::string attempt_id;  // that the answer must contain
+  std::string attempt_id;  // the id that the answer must contain
   std::string service;
   bool idempotent = false;
-  int max_attempts = 1;  // number of backends that it may arrive at
+  int max_attempts = 1;  // maximum number of attempts that may arrive at a backend
   double deadline = 0;
 };
 // A request ends without being sent. `status` may promise that it has not run.
@@ -76,20 +76,22 @@
 struct ClientClosed {
   ClientId client;
 };
+// All buffered bytes of a streamed answer have been sent to the client.
 struct ClientDrained {
   ClientId client;
-};  // all buffered bytes of a streamed answer have been sent to it
+};
 
 struct ConnectionOpened {
   ConnectionId connection;
 };
-// The connection was closed, or received an invalid answer. `bytes_written`: the system accepted a byte of
-// the current request.
+// The connection was closed, or received an invalid answer. `bytes_written`: the operating system accepted at
+// least one byte of the current request for sending.
 struct ConnectionLost {
   ConnectionId connection;
   bool bytes_written = true;
 };
-// The connection was found closed, or with unexpected bytes, before any of the current request was written.
+// The connection was found closed, or had received unexpected bytes, before any byte of the current request
+// was written.
 struct ConnectionStale {
   ConnectionId connection;
 };
@@ -117,16 +119,18 @@
   ConnectionId connection;
   AttemptId attempt;
 };
-struct IdleSweep {};  // close connections that were idle for too long or whose backend is drained
+// Closes the idle connections that were idle for too long or whose backend is drained.
+struct IdleSweep {};
 
 // --- Effects, to be carried out in order ---
 
+// Opens a connection and starts its connect timer.
 struct OpenConnection {
   ConnectionId connection;
   AttemptId attempt;
   RequestId request;
   std::string backend;
-};  // and start its connect timer
+};
 struct SendRequest {
   ConnectionId connection;
   RequestId request;
@@ -177,13 +181,15 @@
   ClientId client;
   RequestId request;
 };
+// A streamed answer cannot be completed.
 struct AbortReply {
   ClientId client;
   RequestId request;
-};  // a streamed answer cannot be completed
+};
+// The last effect for this request.
 struct ReleaseRequest {
   RequestId request;
-};  // the last effect for this request
+};
 
 using Effect = std::variant<OpenConnection, SendRequest, CloseConnection, ReadAnswerPart, ArmDeadline,
                             ReplyNotRun, ReplyUnknown, ForwardAnswer, ForwardStart, ForwardPart, ForwardEnd,
@@ -224,8 +230,8 @@
     RequestId request;  // invalid: idle
     AttemptId attempt;
     bool open = false;
-    uint32_t written = 0;   // number of requests
-    double idle_until = 0;  // while idle
+    uint32_t written = 0;   // number of requests sent on it so far
+    double idle_until = 0;  // while idle: may not be used from this time on
   };
 
   // `policy` must outlive this object.
--- a/system/decisions/request_lifecycle/outcome.h
+++ b/system/decisions/request_lifecycle/outcome.h
@@ -15,11 +15,11 @@
 // How an attempt ended, as far as it shows whether the request was executed.
 enum class Evidence : uint8_t {
   kConnectRefused,      // the connection was never established: refused, reset or no valid address
-  kConnectTimedOut,     // not established in time, or abandoned before
-  kClosedBeforeWrite,   // found closed, or with unexpected bytes, before any of the request was written
-  kWriteRefused,        // the system accepted no byte of the request
+  kConnectTimedOut,     // the connect timeout or the deadline passed before the connection was established
+  kClosedBeforeWrite,   // found closed, or with unexpected bytes, before any byte of the request was written
+  kWriteRefused,        // the operating system accepted no byte of the request for sending
   kLostAfterWrite,      // reset, half-closed or malformed after a byte may have been sent
-  kNoAnswer,            // no answer by the deadline, or abandoned because the client left
+  kNoAnswer,            // no answer by the deadline
   kUnidentifiedAnswer,  // an answer without a request id
   kForeignAnswer,       // an answer with the id of another request
   kAlteredAnswer,       // own id, but not the backend's own body: success without a seal, or encoded
--- a/system/decisions/routing/routes.h
+++ b/system/decisions/routing/routes.h
@@ -22,7 +22,8 @@
   // Returns a fault and changes nothing if the item is invalid.
   config_model::Fault ApplyItem(const messages::Item& item);
 
-  // Returns the route of that host with the longest prefix of the path. `host` may have a port.
+  // Returns the host's route with the longest prefix that matches the path; null if there is none. `host` may
+  // include a port.
   Route Find(std::string_view host, std::string_view path) const;
   Tenant FindTenant(const std::string& key) const;
   bool has_routes() const { return !routes_.empty(); }
